--- a/src/programs/GatewayProgram.cpp
+++ b/src/programs/GatewayProgram.cpp
@@ -98,7 +98,7 @@
     gateway.balance.self = deployment::shortHash(settings.text("peer-listen"));
     gateway.balance.seed = std::random_device{}();
     // As long as changes may take to be heard of everywhere.
-    gateway.balance.denyWithin = seconds(settings, "drain-s");
+    gateway.balance.maxConfigurationAgeToDeny = seconds(settings, "drain-s");
     // A server serves on for that time after the store took its word, which may have been before it was heard here.
     gateway.balance.leavingGrace = seconds(settings, "drain-s") / 2;
     return gateway;
--- a/src/sailpath/balance/Balancer.cpp
+++ b/src/sailpath/balance/Balancer.cpp
@@ -372,7 +372,7 @@
     step.ticket = ticket;
     step.attempt = static_cast<unsigned>(request.attempts.size());
     step.instance = choice.server->instance();
-    step.deadline = request.deadline - m_settings.wayBack;
+    step.deadline = request.deadline - m_settings.answerTripReserve;
     step.repeatable = request.route.repeatable;
     step.workspace = request.workspace;
     step.trying = request.since - request.firstTry;
@@ -419,7 +419,7 @@
         const double elapsed = core::toMilliseconds(now - attempt.sentAt);
         attempt.server->overdue(elapsed, attempt.plainMs);
         if (elapsed >
-            m_settings.hopelessWorks * std::max(attempt.expectedMs, request.pool->work().ms(request.route.name)))
+            m_settings.stuckFactor * std::max(attempt.expectedMs, request.pool->work().ms(request.route.name)))
             attempt.server->failed(now);
         request.mayHaveRun = true;
         Step step;
--- a/src/sailpath/balance/BalancerAdmission.cpp
+++ b/src/sailpath/balance/BalancerAdmission.cpp
@@ -28,9 +28,9 @@
 bool Balancer::mayDeny(core::Timestamp now) const
 {
     // A caller does not come back after a denial, so an old configuration gives none.
-    if (m_settings.denyWithin == core::Duration::max())
+    if (m_settings.maxConfigurationAgeToDeny == core::Duration::max())
         return true;
-    return m_provedAt && now - *m_provedAt <= m_settings.denyWithin;
+    return m_provedAt && now - *m_provedAt <= m_settings.maxConfigurationAgeToDeny;
 }
 
 ////////////////////////////////////////////////////////////
@@ -42,7 +42,7 @@
     if (!route && mayDeny(now))
         return refuse(ticket, {RefusalReason::NoRoute, false, {}});
     if (!route)
-        return refuse(ticket, {RefusalReason::OldRoutes, false, m_settings.comeBackSoon});
+        return refuse(ticket, {RefusalReason::OldRoutes, false, m_settings.defaultRetryAfter});
 
     if (refusedByKey(ticket, arrival, *route, now))
         return;
@@ -57,14 +57,14 @@
     request.pool = poolFor(*route);
     request.since = arrival.since;
     request.callerDeadline = arrival.timeLeft ? arrival.since + *arrival.timeLeft : never;
-    request.deadline = std::min(arrival.since + route->timeout - m_settings.wayBack, request.callerDeadline);
+    request.deadline = std::min(arrival.since + route->timeout - m_settings.answerTripReserve, request.callerDeadline);
     request.identity = arrival.identity;
     // A request that ends its servers comes again and again, and each server takes the other requests there along.
     if (quarantined(ticket, request, now))
         return;
     // A caller whose time is up has gone, and a server that works for him is kept from others.
     if (request.deadline <= now)
-        return refuse(ticket, {RefusalReason::TimedOut, false, m_settings.comeBackSoon});
+        return refuse(ticket, {RefusalReason::TimedOut, false, m_settings.defaultRetryAfter});
     request.pool->retries().requested(now);
     request.firstTry = request.since - request.pool->arrived(*route, arrival.timeLeft, now);
     seek(ticket, m_requests.emplace(ticket, std::move(request)).first->second, now);
@@ -83,7 +83,7 @@
         if (mayDeny(now))
             refuse(ticket, {RefusalReason::UnknownKey, false, {}});
         else
-            refuse(ticket, {RefusalReason::OldKeys, false, m_settings.comeBackSoon});
+            refuse(ticket, {RefusalReason::OldKeys, false, m_settings.defaultRetryAfter});
         return true;
     }
     if (m_quotas.lets(workspace->name, m_random, now))
@@ -98,7 +98,7 @@
     ServicePool&      pool = *request.pool;
     const ServerView& server = *choice.server;
     const unsigned    rank = request.route.priority;
-    if (!m_settings.gating)
+    if (!m_settings.admissionControl)
         return false;
     if (!mayBeInTime(request, now))
         return pool.pressed(rank, now) || pool.full(server, now) || exceedsDeadline(request, choice, now);
@@ -117,7 +117,7 @@
 ////////////////////////////////////////////////////////////
 bool Balancer::admits(const Request& request, const Choice& choice, core::Timestamp now) const
 {
-    if (!m_settings.gating)
+    if (!m_settings.admissionControl)
         return true;
     const unsigned rank = request.route.priority;
     const double   passed = core::toMilliseconds(now - request.firstTry);
--- a/src/sailpath/balance/BalancerCrashes.cpp
+++ b/src/sailpath/balance/BalancerCrashes.cpp
@@ -86,7 +86,7 @@
         return false;
     Refusal refusal;
     refusal.reason = quarantine != nullptr ? RefusalReason::EndsServers : RefusalReason::MayEndServers;
-    refusal.comeBack = quarantine != nullptr ? quarantine->until - now : m_settings.comeBackSoon;
+    refusal.comeBack = quarantine != nullptr ? quarantine->until - now : m_settings.defaultRetryAfter;
     refuse(ticket, refusal);
     return true;
 }
--- a/src/sailpath/balance/BalancerSearch.cpp
+++ b/src/sailpath/balance/BalancerSearch.cpp
@@ -47,7 +47,7 @@
     request.draw = static_cast<std::uint32_t>(core::mix(static_cast<std::uint32_t>(m_settings.seed), ++m_searches));
     request.rank = request.pool->anyLimited(now) ? request.pool->moreUrgent(request.route.priority, now) : 0;
     // What comes back late gets no room, and none is looked for, while others could still be in time.
-    const bool gated = m_settings.gating && request.attempts.empty();
+    const bool gated = m_settings.admissionControl && request.attempts.empty();
     if (gated && request.pool->pressed(request.route.priority, now) && !mayBeInTime(request, now))
     {
         Refusal refusal{RefusalReason::CameBackLate, false, comeBack(*request.pool, 0)};
@@ -69,7 +69,7 @@
     Wish    wish = wishOf(request);
     wish.first = search.probes.empty();
     wish.nearFirst = m_settings.nearFirst && wish.first;
-    const unsigned most = search.probes.empty() ? m_settings.probesAtFirst : m_settings.probesPerRound;
+    const unsigned most = search.probes.empty() ? m_settings.probesInFirstRound : m_settings.probesPerRound;
     auto           servers = request.pool->worthProbing(wish, search.asked, most, now, m_random);
     if (servers.empty())
     {
@@ -79,7 +79,7 @@
     search.pausing = false;
     search.waiting = 0;
     search.roundStart = search.probes.size();
-    search.next = now + m_settings.probeWait;
+    search.next = now + m_settings.probeRoundTimeout;
     for (const auto& server : servers)
     {
         if (!request.pool->takeProbe(now))
@@ -120,7 +120,7 @@
         return;
     --search.waiting;
     Wish wish = wishOf(request);
-    wish.freshest = m_settings.reportFresh;
+    wish.freshest = m_settings.freshReportAge;
     const Choice choice = request.pool->choose(wish, now, m_random);
     if (choice.server && good(request, choice, now))
         return settle(ticket, request, choice, now);
@@ -133,7 +133,8 @@
 {
     const Choice choice = request.pool->choose(wishOf(request), now, m_random);
     const double typical = request.pool->work().ms(request.route.name);
-    const bool hasTime = meetsTarget(request, searchRoom * typical + core::toMilliseconds(m_settings.roundPause), now);
+    const bool   hasTime =
+        meetsTarget(request, searchRoom * typical + core::toMilliseconds(m_settings.probeRoundPause), now);
     if (!choice.server || !hasTime)
         return settle(ticket, request, choice, now);
     // What looks better than those that were asked may only be less known.
@@ -149,7 +150,7 @@
         return enough ? settle(ticket, request, choice, now) : lookOn(ticket, request, now);
     }
     request.search.pausing = true;
-    request.search.next = now + m_settings.roundPause;
+    request.search.next = now + m_settings.probeRoundPause;
     plan(ticket, request, now);
 }
 
@@ -187,13 +188,13 @@
 bool Balancer::fresh(const Choice& choice, core::Timestamp now) const
 {
     const double age = choice.server->reportAgeMs(now);
-    return age >= 0 && age <= core::toMilliseconds(m_settings.reportFresh);
+    return age >= 0 && age <= core::toMilliseconds(m_settings.freshReportAge);
 }
 
 ////////////////////////////////////////////////////////////
 bool Balancer::meetsTarget(const Request& request, double finishMs, core::Timestamp now) const
 {
-    const auto done = now + core::fromMilliseconds(finishMs) + m_settings.wayBack;
+    const auto done = now + core::fromMilliseconds(finishMs) + m_settings.answerTripReserve;
     return done <= request.firstTry + request.route.targetLatency;
 }
 
@@ -235,7 +236,7 @@
         return comeBackForTurn(pool.openness(now));
     if (shortage == Shortage::BackOff)
         return comeBackAfter(pool.shortestBackOff(now));
-    return m_settings.comeBackSoon;
+    return m_settings.defaultRetryAfter;
 }
 
 } // namespace sailpath::balance
--- a/src/sailpath/balance/BalancerTiming.cpp
+++ b/src/sailpath/balance/BalancerTiming.cpp
@@ -19,7 +19,7 @@
 void Balancer::hold(Ticket ticket, const Arrival& arrival, core::Timestamp now)
 {
     m_early.push_back({ticket, std::string(arrival.host), std::string(arrival.target), std::string(arrival.key),
-                       arrival.since, arrival.timeLeft, now + m_settings.earlyWait, arrival.identity});
+                       arrival.since, arrival.timeLeft, now + m_settings.configurationWait, arrival.identity});
 }
 
 ////////////////////////////////////////////////////////////
@@ -49,11 +49,11 @@
     {
         const double typical = request.pool->work().ms(request.route.name);
         const auto   target = request.firstTry + request.route.targetLatency;
-        const auto   latestUseful = target - core::fromMilliseconds(hedgeRoom * typical) - m_settings.wayBack -
-                                  m_settings.probeWait - m_settings.connectCost;
+        const auto latestUseful = target - core::fromMilliseconds(hedgeRoom * typical) - m_settings.answerTripReserve -
+                                  m_settings.probeRoundTimeout - m_settings.connectCost;
         const auto patience = last.sentAt + core::fromMilliseconds(leastHedgeWorks * typical);
         const auto stuck =
-            last.sentAt + core::fromMilliseconds(m_settings.hopelessWorks * std::max(typical, last.expectedMs));
+            last.sentAt + core::fromMilliseconds(m_settings.stuckFactor * std::max(typical, last.expectedMs));
         // Later than that a second send cannot meet the target; then it is only for what is stuck.
         core::Timestamp at = patience <= latestUseful ? latestUseful : stuck;
         if (at <= now)
@@ -71,7 +71,7 @@
     {
         // Looked at again only when it is stuck; the deadline ends it in any case.
         request.noHedgeUntil =
-            now + core::fromMilliseconds(m_settings.hopelessWorks * request.pool->work().ms(request.route.name));
+            now + core::fromMilliseconds(m_settings.stuckFactor * request.pool->work().ms(request.route.name));
         return plan(ticket, request, now);
     }
     seek(ticket, request, now);
@@ -81,7 +81,7 @@
 void Balancer::due(core::Timestamp now)
 {
     for (; !m_early.empty() && m_early.front().until <= now; m_early.pop_front())
-        refuse(m_early.front().ticket, {RefusalReason::NotConfigured, false, m_settings.comeBackSoon});
+        refuse(m_early.front().ticket, {RefusalReason::NotConfigured, false, m_settings.defaultRetryAfter});
     while (!m_wakes.empty() && m_wakes.begin()->first <= now)
     {
         const Ticket ticket = m_wakes.begin()->second;
@@ -102,7 +102,7 @@
 {
     abandonRunning(ticket, request, now);
     refuse(ticket, {RefusalReason::TimedOut, request.mayHaveRun,
-                    request.mayHaveRun ? core::Duration{} : m_settings.comeBackSoon});
+                    request.mayHaveRun ? core::Duration{} : m_settings.defaultRetryAfter});
     close(ticket);
 }
 
--- a/src/sailpath/balance/ServerView.cpp
+++ b/src/sailpath/balance/ServerView.cpp
@@ -287,7 +287,7 @@
     speed *= 1 + (usual.fullSlowdown - 1) * crowding(usual.others, now);
     double time = speed * (workMs + ahead / slots * usual.workMs);
     if (m_instance->dataCentre != m_settings.dataCentre)
-        time += core::toMilliseconds(m_settings.otherDataCentre);
+        time += core::toMilliseconds(m_settings.otherDataCentreRoundTrip);
     if (m_idle == 0)
         time += core::toMilliseconds(m_settings.connectCost);
     if (now < m_shedUntil)
@@ -302,7 +302,7 @@
     if (m_report)
     {
         const double age = core::toMilliseconds(now - m_report->at);
-        const double worth = std::exp(-age / core::toMilliseconds(m_settings.reportLife));
+        const double worth = std::exp(-age / core::toMilliseconds(m_settings.reportDecayTime));
         elsewhere = others + worth * (m_report->others - others);
     }
     return m_inFlight + elsewhere;
@@ -317,7 +317,8 @@
     if (!m_report)
         return expected;
     const double age = core::toMilliseconds(now - m_report->at);
-    return expected + std::exp(-age / core::toMilliseconds(m_settings.reportLife)) * (m_report->load.pace - expected);
+    return expected +
+           std::exp(-age / core::toMilliseconds(m_settings.reportDecayTime)) * (m_report->load.pace - expected);
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/balance/ServicePool.cpp
+++ b/src/sailpath/balance/ServicePool.cpp
@@ -21,10 +21,10 @@
 ServicePool::ServicePool(std::string name, const Settings& settings, core::Timestamp born) :
 m_name(std::move(name)),
 m_settings(settings),
-m_own(settings.self, settings.dataCentre, settings.ownServers),
+m_own(settings.self, settings.dataCentre, settings.subsetSize),
 m_retries(settings.retryWindow, settings.retryRatio, born),
 m_probes(born),
-m_work(settings.firstWork),
+m_work(settings.initialWorkEstimate),
 m_warmUpLimit(settings.self, born)
 {
 }
@@ -42,7 +42,7 @@
 ////////////////////////////////////////////////////////////
 bool ServicePool::mayProbe() const
 {
-    const bool mayTell = m_tellsLoad || m_answersWithoutLoad < m_settings.firstProbes;
+    const bool mayTell = m_tellsLoad || m_answersWithoutLoad < m_settings.maxAnswersWithoutLoad;
     return m_settings.probing && mayTell && !m_healthPath.empty();
 }
 
--- a/src/sailpath/balance/ServicePoolPlacement.cpp
+++ b/src/sailpath/balance/ServicePoolPlacement.cpp
@@ -51,7 +51,7 @@
         consider(server);
     if (m_servers.size() > m_own.list().size() && (!wish.first || ranked.empty()))
     {
-        for (unsigned i = 0; i < m_settings.furtherServers; ++i)
+        for (unsigned i = 0; i < m_settings.outsideSubsetSamples; ++i)
             consider(m_servers[random.below(m_servers.size())]);
     }
     std::sort(ranked.begin(), ranked.end(),
@@ -121,7 +121,7 @@
     {
         for (const auto& server : wish.asked)
             consider(server);
-        for (unsigned i = 0; !best.server && i < m_settings.furtherServers; ++i)
+        for (unsigned i = 0; !best.server && i < m_settings.outsideSubsetSamples; ++i)
             consider(m_servers[random.below(m_servers.size())]);
     }
     if (best.server)
--- a/test/balance/Balancer.test.cpp
+++ b/test/balance/Balancer.test.cpp
@@ -67,8 +67,8 @@
         settings.dataCentre = "dc";
         settings.retryRatio = 0.2;
         settings.retryExtra = 50;
-        settings.firstProbes = 0; // Most tests are about what follows a choice, not about the search
-        settings.probesAtFirst = 3;
+        settings.maxAnswersWithoutLoad = 0; // Most tests are about what follows a choice, not about the search
+        settings.probesInFirstRound = 3;
         settings.probesPerRound = 3;
         return settings;
     }
@@ -305,7 +305,7 @@
 BOOST_AUTO_TEST_CASE(AnOldConfigurationDeniesNothing)
 {
     auto settings = settingsOf();
-    settings.denyWithin = 2s;
+    settings.maxConfigurationAgeToDeny = 2s;
     Balancer   old(settings, now);
     const auto refusal = [&](core::Timestamp at)
     {
@@ -533,7 +533,7 @@
 BOOST_AUTO_TEST_CASE(AServiceThatIsNotKnownYetIsAskedAtOnce)
 {
     auto settings = settingsOf();
-    settings.firstProbes = 6;
+    settings.maxAnswersWithoutLoad = 6;
     balancer = Balancer(settings, now);
     configure();
     now += 20s;
@@ -545,7 +545,7 @@
 BOOST_AUTO_TEST_CASE(AServiceIsNotAskedOnceItsAnswersToldNoLoad)
 {
     auto settings = settingsOf();
-    settings.firstProbes = 6;
+    settings.maxAnswersWithoutLoad = 6;
     balancer = Balancer(settings, now);
     configure();
     now += 20s;
@@ -588,7 +588,7 @@
 BOOST_AUTO_TEST_CASE(FewServersAreAskedFirstAndMoreWhenTheseAreBusy)
 {
     auto settings = settingsOf();
-    settings.probesAtFirst = 2;
+    settings.probesInFirstRound = 2;
     settings.probesPerRound = 4;
     balancer = Balancer(settings, now);
     for (int i = 5; i <= 20; ++i)
--- a/test/support/OneRouteFixture.hpp
+++ b/test/support/OneRouteFixture.hpp
@@ -39,7 +39,7 @@
         settings.dataCentre = "dc";
         settings.retryRatio = 0.2;
         settings.retryExtra = 50;
-        settings.denyWithin = std::chrono::seconds{25};
+        settings.maxConfigurationAgeToDeny = std::chrono::seconds{25};
         return settings;
     }
 
