--- a/include/sailpath/balance/Balancer.hpp
+++ b/include/sailpath/balance/Balancer.hpp
@@ -30,12 +30,12 @@
 ////////////////////////////////////////////////////////////
 struct Arrival
 {
-    std::string_view              host;     //!< Host header
-    std::string_view              target;   //!< Path and query
-    core::Timestamp               since{};  //!< When its first byte came
-    std::optional<core::Duration> timeLeft; //!< Time the caller waits from then on, when it says so
+    std::string_view              host;          //!< Host header
+    std::string_view              target;        //!< Path and query
+    core::Timestamp               firstByteAt{}; //!< When its first byte came
+    std::optional<core::Duration> timeLeft;      //!< Time the caller waits from then on, when it says so
 
-    std::optional<deployment::RequestIdentity> identity{}; //!< Given while `Balancer::looksUpRequests`
+    std::optional<deployment::RequestIdentity> identity{}; //!< Given while `Balancer::needsRequestIdentity`
     std::string_view                           key{};      //!< Of the caller's workspace; empty without
 };
 
@@ -47,7 +47,7 @@
     AttemptEnd                    end{AttemptEnd::Lost};  //!< How it ended
     unsigned                      status{0};              //!< Of the answer
     std::optional<Load>           load;                   //!< Load report on the answer
-    core::Duration                comeBack{};             //!< When the server says to come back
+    core::Duration                retryAfter{};           //!< When the server says to come back
     bool                          misdirected{false};     //!< With `NotRun`: another instance answered
     std::optional<double>         limit;                  //!< See `unlimited`; null when the answer does not tell
     std::optional<core::Duration> warmUp;                 //!< How much longer the server says it is cold; 0 for not
@@ -59,10 +59,10 @@
 ////////////////////////////////////////////////////////////
 /// \brief An instance said, other than was believed, whether it is cold
 ////////////////////////////////////////////////////////////
-struct WarmthNews
+struct WarmUpChange
 {
-    std::shared_ptr<const deployment::Instance> instance; //!< Which
-    core::Duration                              left{};   //!< How much longer it is cold; 0 for not
+    std::shared_ptr<const deployment::Instance> instance;  //!< Which
+    core::Duration                              coldFor{}; //!< How much longer it is cold; 0 for not
 };
 
 ////////////////////////////////////////////////////////////
@@ -109,7 +109,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Note when what is in force was last known to be what operators declare; null when it never was
     ////////////////////////////////////////////////////////////
-    void proved(std::optional<core::Timestamp> at);
+    void setConfigurationConfirmedAt(std::optional<core::Timestamp> at);
 
     ////////////////////////////////////////////////////////////
     /// \brief Decide about a request that has arrived
@@ -126,7 +126,7 @@
     ///
     /// \param load Null when the server did not tell
     ////////////////////////////////////////////////////////////
-    void probed(Ticket ticket, unsigned probe, const Outcome& outcome, core::Timestamp now);
+    void probeEnded(Ticket ticket, unsigned probe, const Outcome& outcome, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Hear what the head of an answer says of the requests that its server wants
@@ -134,10 +134,10 @@
     /// Holds whatever becomes of the request that was answered, so it is told
     /// for each answer, before its end is.
     ////////////////////////////////////////////////////////////
-    void noticed(const std::shared_ptr<const deployment::Instance>& instance, const ServerNotice& notice,
-                 NoticeSource source, core::Timestamp now);
+    void recordNotice(const std::shared_ptr<const deployment::Instance>& instance, const ServerNotice& notice,
+                      NoticeSource source, core::Timestamp now);
 
-    [[nodiscard]] std::vector<NoticeChange>  takeNotices(); //!< That changed what is believed, since the last call
+    [[nodiscard]] std::vector<NoticeChange> takeNoticeChanges(); //!< That changed what is believed, since the last call
     [[nodiscard]] std::vector<NoticeInForce> notices(core::Timestamp now) const; //!< Those that hold
 
     ////////////////////////////////////////////////////////////
@@ -148,7 +148,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Hear which instances other nodes saw fail requests
     ////////////////////////////////////////////////////////////
-    void heardFailures(std::span<const deployment::ServerFailure> failures, core::Timestamp now);
+    void receiveFailures(std::span<const deployment::ServerFailure> failures, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Instances that several nodes saw fail, suspects since the last call
@@ -158,7 +158,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Instances that said, other than was believed, that they are cold or warm, since the last call
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] std::vector<WarmthNews> takeWarmthNews();
+    [[nodiscard]] std::vector<WarmUpChange> takeWarmUpChanges();
 
     ////////////////////////////////////////////////////////////
     /// \brief Instances that were found to take less, or more, than was believed, since the last call
@@ -170,39 +170,39 @@
     ////////////////////////////////////////////////////////////
     /// \brief Hear what other nodes heard from limited instances and sent there
     ////////////////////////////////////////////////////////////
-    void heardLimits(std::span<const deployment::LimitNews> news, core::Timestamp now);
+    void receiveLimitNews(std::span<const deployment::LimitNews> news, core::Timestamp now);
 
     [[nodiscard]] std::vector<deployment::LimitNews> takeLimitNews(); //!< For the other nodes, since the last call
 
     [[nodiscard]] std::vector<QuotaState>   quotas(core::Timestamp now) const; //!< Of workspaces that have one
     [[nodiscard]] std::optional<QuotaState> quota(std::string_view workspace, core::Timestamp now) const; //!< Of one
-    [[nodiscard]] bool                      hasQuotas() const;              //!< Some workspace has one
-    void                                    heardFleet(core::Timestamp at); //!< Other nodes could be heard then
+    [[nodiscard]] bool                      hasQuotas() const;                      //!< Some workspace has one
+    void                                    recordFleetContact(core::Timestamp at); //!< Other nodes could be heard then
 
     [[nodiscard]] std::vector<std::uint32_t> takeFailures(); //!< Short hashes of instances that failed here since
 
     ////////////////////////////////////////////////////////////
     /// \brief Hear the answer to a `Check` step
     ////////////////////////////////////////////////////////////
-    void checked(const deployment::Instance& instance, CheckResult result, core::Timestamp now);
+    void checkEnded(const deployment::Instance& instance, CheckResult result, core::Timestamp now);
 
-    void heardCrashes(const deployment::CrashNews& news, core::Timestamp now); //!< Other nodes saw servers end
+    void receiveCrashNews(const deployment::CrashNews& news, core::Timestamp now); //!< Other nodes saw servers end
 
-    [[nodiscard]] bool                  looksUpRequests() const; //!< Arrivals and outcomes are to tell the identity
-    [[nodiscard]] deployment::CrashNews takeCrashNews();         //!< For the other nodes, since the last call
-    [[nodiscard]] const CrashLedger&    crashes() const;         //!< Requests that end servers
+    [[nodiscard]] bool needsRequestIdentity() const;     //!< Arrivals and outcomes are to tell the identity
+    [[nodiscard]] deployment::CrashNews takeCrashNews(); //!< For the other nodes, since the last call
+    [[nodiscard]] const CrashLedger&    crashes() const; //!< Requests that end servers
 
-    [[nodiscard]] std::vector<deployment::Quarantine> takeQuarantined(); //!< New or wider since the last call
+    [[nodiscard]] std::vector<deployment::Quarantine> takeNewQuarantines(); //!< New or wider since the last call
 
     ////////////////////////////////////////////////////////////
     /// \brief Note the connections to an instance
     ////////////////////////////////////////////////////////////
-    void connections(const deployment::Instance& instance, unsigned idle, unsigned open);
+    void setConnectionCounts(const deployment::Instance& instance, unsigned idle, unsigned open);
 
     ////////////////////////////////////////////////////////////
     /// \brief Do what has become due
     ////////////////////////////////////////////////////////////
-    void due(core::Timestamp now);
+    void processDue(core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief When something becomes due next
@@ -230,7 +230,7 @@
         std::shared_ptr<ServerView> server;        //!< Where
         core::Timestamp             sentAt{};      //!< When
         double                      expectedMs{0}; //!< Estimated time to the answer
-        double                      plainMs{0};    //!< The same without the instance's own ratio
+        double                      unscaledMs{0}; //!< The same without the instance's own ratio
         double                      crowding{0};   //!< Of the instance, when it was sent
         bool                        running{true}; //!< No end was reported
     };
@@ -242,8 +242,8 @@
     {
         bool                                     active{false};    //!< Under way
         bool                                     pausing{false};   //!< Between rounds
-        core::Timestamp                          next{};           //!< End of the round or the pause
-        unsigned                                 waiting{0};       //!< Probes of the round without an answer
+        core::Timestamp                          endsAt{};         //!< End of the round or the pause
+        unsigned                                 pendingProbes{0}; //!< Probes of the round without an answer
         std::vector<ServerView*>                 asked;            //!< In the rounds so far, not yet to be asked again
         std::vector<std::shared_ptr<ServerView>> probes;           //!< By number, from 1
         std::size_t                              roundStart{0};    //!< First probe of the round
@@ -252,25 +252,25 @@
 
     struct Request
     {
-        deployment::HostRoute        route;             //!< As of its arrival
-        std::shared_ptr<ServicePool> pool;              //!< Service it goes to
-        std::string                  workspace;         //!< That it is sent for; empty without
-        core::Timestamp              since{};           //!< Its first byte
-        core::Timestamp              firstTry{};        //!< When its caller is believed to have tried first
-        core::Timestamp              deadline{};        //!< Final answer
-        core::Timestamp              callerDeadline{};  //!< When its caller stops waiting
-        core::Timestamp              wake{};            //!< When it is to be looked at next
-        std::vector<Attempt>         attempts;          //!< In order; the first is number 1
-        std::vector<ServerView*>     tried;             //!< Servers of the attempts
-        Search                       search;            //!< For a server
-        unsigned                     sends{0};          //!< Attempts that may have reached a server
-        bool                         mayHaveRun{false}; //!< Some attempt's outcome is not known
-        unsigned                     lastAnswer{0};     //!< Attempt whose answer is passed on if nothing better comes
-        core::Timestamp              noHedgeUntil{};    //!< No further send before
-        bool                         left{false};       //!< Its caller left
-        core::Duration               comeBack{};        //!< Latest word of a server on when to come back
-        std::uint32_t                draw{0};           //!< Of the search, for chances that are taken once
-        unsigned                     rank{0};           //!< Kinds of request of the service that are more urgent
+        deployment::HostRoute        route;              //!< As of its arrival
+        std::shared_ptr<ServicePool> pool;               //!< Service it goes to
+        std::string                  workspace;          //!< That it is sent for; empty without
+        core::Timestamp              firstByteAt{};      //!< Its first byte
+        core::Timestamp              firstTriedAt{};     //!< When its caller is believed to have tried first
+        core::Timestamp              deadline{};         //!< Final answer
+        core::Timestamp              callerDeadline{};   //!< When its caller stops waiting
+        core::Timestamp              wakeAt{};           //!< When it is to be looked at next
+        std::vector<Attempt>         attempts;           //!< In order; the first is number 1
+        std::vector<ServerView*>     triedServers;       //!< Servers of the attempts
+        Search                       search;             //!< For a server
+        unsigned                     sends{0};           //!< Attempts that may have reached a server
+        bool                         mayHaveRun{false};  //!< Some attempt's outcome is not known
+        unsigned                     fallbackAttempt{0}; //!< Attempt whose answer is passed on if nothing better comes
+        core::Timestamp              noHedgeUntil{};     //!< No further send before
+        bool                         callerGone{false};  //!< Its caller left
+        core::Duration               retryAfter{};       //!< Latest word of a server on when to come back
+        std::uint32_t                draw{0};            //!< Of the search, for chances that are taken once
+        unsigned                     rank{0};            //!< Kinds of request of the service that are more urgent
 
         std::optional<deployment::RequestIdentity> identity; //!< As far as it was told
     };
@@ -283,18 +283,18 @@
         core::Timestamp             lostAt;
     };
 
-    [[nodiscard]] bool takeAll(const deployment::Declared& declared, core::Timestamp now);     //!< A service is new
-    [[nodiscard]] bool takeChanged(const deployment::Declared& declared, core::Timestamp now); //!< A service is new
+    [[nodiscard]] bool applyAll(const deployment::Declared& declared, core::Timestamp now);     //!< A service is new
+    [[nodiscard]] bool applyChanges(const deployment::Declared& declared, core::Timestamp now); //!< A service is new
     const std::shared_ptr<ServicePool>& poolOf(const std::string& service, bool& added);
-    void                                expectWork();
+    void                                seedWorkEstimates();
     /// \brief A request that came before the first configuration
-    struct Early
+    struct HeldRequest
     {
         Ticket                        ticket{0};
         std::string                   host;
         std::string                   target;
         std::string                   key;
-        core::Timestamp               since{};
+        core::Timestamp               firstByteAt{};
         std::optional<core::Duration> timeLeft;
         core::Timestamp               until{}; //!< It is refused then
 
@@ -302,81 +302,81 @@
     };
 
     void               hold(Ticket ticket, const Arrival& arrival, core::Timestamp now);
-    void               admitEarly(core::Timestamp now);
+    void               admitHeld(core::Timestamp now);
     [[nodiscard]] bool refusedByKey(Ticket ticket, const Arrival& arrival, const deployment::HostRoute& route,
                                     core::Timestamp now);
-    [[nodiscard]] std::shared_ptr<ServicePool> poolFor(const deployment::HostRoute& route);
+    [[nodiscard]] std::shared_ptr<ServicePool> choosePool(const deployment::HostRoute& route);
     /// \brief Decide whether a request is refused for load, and note in its service's pressure what was decided
-    [[nodiscard]] bool        turnsAway(const Request& request, const Choice& choice, core::Timestamp now) const;
+    [[nodiscard]] bool        refusesForLoad(const Request& request, const Choice& choice, core::Timestamp now) const;
     /// \brief Whether a request would be sent to a server, if that was all there is
-    [[nodiscard]] bool        admits(const Request& request, const Choice& choice, core::Timestamp now) const;
+    [[nodiscard]] bool        isAdmissible(const Request& request, const Choice& choice, core::Timestamp now) const;
     [[nodiscard]] static bool exceedsDeadline(const Request& request, const Choice& choice, core::Timestamp now);
     [[nodiscard]] static bool mayBeInTime(const Request& request, core::Timestamp now);
     [[nodiscard]] static bool delaysMoreUrgent(const Request& request, const ServerView& server, core::Timestamp now);
     [[nodiscard]] bool        maySendAgain(Request& request, core::Timestamp now) const;
     [[nodiscard]] bool        sendAgain(Ticket ticket, Request& request, const Choice& choice, core::Timestamp now);
-    void                      seek(Ticket ticket, Request& request, core::Timestamp now);
+    void                      startSearch(Ticket ticket, Request& request, core::Timestamp now);
     void                      beginRound(Ticket ticket, Request& request, core::Timestamp now);
-    void                      lookOn(Ticket ticket, Request& request, core::Timestamp now);
+    void                      searchFurther(Ticket ticket, Request& request, core::Timestamp now);
     void                      endRound(Ticket ticket, Request& request, core::Timestamp now);
-    void                      settle(Ticket ticket, Request& request, const Choice& choice, core::Timestamp now);
-    [[nodiscard]] bool        good(const Request& request, const Choice& choice, core::Timestamp now) const;
+    void                      finishSearch(Ticket ticket, Request& request, const Choice& choice, core::Timestamp now);
+    [[nodiscard]] bool        isGood(const Request& request, const Choice& choice, core::Timestamp now) const;
     [[nodiscard]] bool        looksGood(const Request& request, double finishMs) const;
-    [[nodiscard]] static bool worthLookingOn(const Request& request);
-    [[nodiscard]] bool        fresh(const Choice& choice, core::Timestamp now) const;
+    [[nodiscard]] static bool worthFurtherRound(const Request& request);
+    [[nodiscard]] bool        isFresh(const Choice& choice, core::Timestamp now) const;
     [[nodiscard]] bool        meetsTarget(const Request& request, double finishMs, core::Timestamp now) const;
     void                      forward(Ticket ticket, Request& request, const Choice& choice, core::Timestamp now);
-    void                      learn(Request& request, Attempt& attempt, const Outcome& outcome, core::Timestamp now);
-    void                      noteLost(const Request& request, const Attempt& attempt, core::Timestamp now);
-    void                      noteServed(const deployment::RequestIdentity& identity, core::Timestamp now);
-    [[nodiscard]] bool        quarantined(Ticket ticket, const Request& request, core::Timestamp now);
-    [[nodiscard]] bool        sameIsUnderWay(const Request& request) const; //!< And servers ended under it
-    [[nodiscard]] bool        mayEndAnother(const Request& request, core::Timestamp now) const; //!< If sent once more
-    void                      noteFailure(ServicePool& pool, const ServerView& server, core::Timestamp now);
-    void                      witness(ServicePool& pool, const deployment::ServerFailure& failure, core::Timestamp now);
-    void                      learnLimit(ServicePool& pool, ServerView& server, double perSecond, core::Timestamp now);
-    void                      noteLimit(const ServerView& server, double sent, core::Timestamp now);
-    void                 learnLoad(ServicePool& pool, ServerView& server, const Outcome& outcome, core::Timestamp now);
-    void                 conclude(Ticket ticket, Request& request, core::Timestamp now);
-    void                 refuse(Ticket ticket, const Refusal& refusal);
-    [[nodiscard]] bool   mayDeny(core::Timestamp now) const;
-    void                 timeOut(Ticket ticket, Request& request, core::Timestamp now);
-    void                 hedge(Ticket ticket, Request& request, core::Timestamp now);
-    void                 abandonRunning(Ticket ticket, Request& request, core::Timestamp now);
-    void                 plan(Ticket ticket, Request& request, core::Timestamp now);
-    void                 close(Ticket ticket);
-    [[nodiscard]] Wish   wishOf(const Request& request) const;
-    [[nodiscard]] double retryExtra() const;
-    [[nodiscard]] core::Duration comeBackForTurn(double openness);
-    [[nodiscard]] core::Duration comeBackAfter(core::Duration backOff);
-    [[nodiscard]] core::Duration comeBackFrom(Shortage shortage, const ServicePool& pool, core::Timestamp now);
-    [[nodiscard]] core::Duration comeBack(const ServicePool& pool, double expectedMs);
-
-    Settings                                      m_settings;   //!< Constants
-    core::Timestamp                               m_born;       //!< Start of this life
-    core::Random                                  m_random;     //!< For choices
-    std::optional<core::Timestamp>                m_provedAt;   //!< The configuration was the operators' then
-    std::shared_ptr<const deployment::Deployment> m_deployment; //!< In force
-    deployment::RouteTable                        m_routes;     //!< In force
-    deployment::KeyTable                          m_keys;       //!< In force
-    WorkspaceQuotas                               m_quotas;     //!< In force
-    std::unordered_map<std::string, std::shared_ptr<ServicePool>> m_pools;       //!< By service
-    std::unordered_map<std::string, std::vector<double>>          m_credit;      //!< By route: what each part is owed
-    std::uint32_t                                                 m_searches{0}; //!< For servers, so far
-    unsigned                                                      m_nodes{1};    //!< That share budgets
-    std::unordered_map<Ticket, Request>                           m_requests;    //!< Unfinished
-    std::set<std::pair<core::Timestamp, Ticket>>                  m_wakes;       //!< What is due when
-    std::deque<Early>                                             m_early;       //!< In the order that they came
-    std::vector<std::uint32_t>                                    m_failures;    //!< Instances that failed, not taken
-    std::vector<std::shared_ptr<const deployment::Instance>>      m_suspects;    //!< New ones, not taken
-    std::vector<WarmthNews>                                       m_warmth;      //!< Not taken
-    std::vector<NoticeChange>                                     m_notices;     //!< Not taken
-    std::vector<LimitChange>                                      m_limits;      //!< Not taken
-    std::vector<deployment::LimitNews>                            m_limitNews;   //!< Not taken, one for each instance
-    std::vector<Step>                                             m_steps;       //!< Decided, not taken
-    CrashLedger                                                   m_crashes;     //!< Requests that end servers
-    std::map<std::string, std::vector<LostRequest>>               m_checks;      //!< Under way, by instance
-    deployment::CrashNews                                         m_crashNews;   //!< Not taken
+    void               learnOutcome(Request& request, Attempt& attempt, const Outcome& outcome, core::Timestamp now);
+    void               checkAfterLoss(const Request& request, const Attempt& attempt, core::Timestamp now);
+    void               recordServed(const deployment::RequestIdentity& identity, core::Timestamp now);
+    [[nodiscard]] bool refuseIfQuarantined(Ticket ticket, const Request& request, core::Timestamp now);
+    [[nodiscard]] bool identicalRequestInFlight(const Request& request) const; //!< And servers ended under it
+    [[nodiscard]] bool mayEndAnotherServer(const Request& request, core::Timestamp now) const; //!< If sent once more
+    void               recordFailure(ServicePool& pool, const ServerView& server, core::Timestamp now);
+    void recordFailureReport(ServicePool& pool, const deployment::ServerFailure& failure, core::Timestamp now);
+    void learnLimit(ServicePool& pool, ServerView& server, double perSecond, core::Timestamp now);
+    void addLimitNews(const ServerView& server, double sent, core::Timestamp now);
+    void learnLoad(ServicePool& pool, ServerView& server, const Outcome& outcome, core::Timestamp now);
+    void conclude(Ticket ticket, Request& request, core::Timestamp now);
+    void refuse(Ticket ticket, const Refusal& refusal);
+    [[nodiscard]] bool           mayDeny(core::Timestamp now) const;
+    void                         timeOut(Ticket ticket, Request& request, core::Timestamp now);
+    void                         hedge(Ticket ticket, Request& request, core::Timestamp now);
+    void                         abandonRunning(Ticket ticket, Request& request, core::Timestamp now);
+    void                         scheduleWake(Ticket ticket, Request& request, core::Timestamp now);
+    void                         close(Ticket ticket);
+    [[nodiscard]] Wish           wishOf(const Request& request) const;
+    [[nodiscard]] double         retryExtra() const;
+    [[nodiscard]] core::Duration retryAfterForTurn(double openness);
+    [[nodiscard]] core::Duration retryAfterBackOff(core::Duration backOff);
+    [[nodiscard]] core::Duration retryAfterShortage(Shortage shortage, const ServicePool& pool, core::Timestamp now);
+    [[nodiscard]] core::Duration retryAfterWork(const ServicePool& pool, double expectedMs);
+
+    Settings                                      m_settings;    //!< Constants
+    core::Timestamp                               m_startedAt;   //!< Start of this life
+    core::Random                                  m_random;      //!< For choices
+    std::optional<core::Timestamp>                m_confirmedAt; //!< The configuration was the operators' then
+    std::shared_ptr<const deployment::Deployment> m_deployment;  //!< In force
+    deployment::RouteTable                        m_routes;      //!< In force
+    deployment::KeyTable                          m_keys;        //!< In force
+    WorkspaceQuotas                               m_quotas;      //!< In force
+    std::unordered_map<std::string, std::shared_ptr<ServicePool>> m_pools;        //!< By service
+    std::unordered_map<std::string, std::vector<double>>          m_splitCredits; //!< By route: what each part is owed
+    std::uint32_t                                                 m_searchCount{0}; //!< For servers, so far
+    unsigned                                                      m_nodes{1};       //!< That share budgets
+    std::unordered_map<Ticket, Request>                           m_requests;       //!< Unfinished
+    std::set<std::pair<core::Timestamp, Ticket>>                  m_wakeTimes;      //!< What is due when
+    std::deque<HeldRequest>                                       m_heldRequests;   //!< In the order that they came
+    std::vector<std::uint32_t>                               m_failedInstances; //!< Instances that failed, not taken
+    std::vector<std::shared_ptr<const deployment::Instance>> m_suspects;        //!< New ones, not taken
+    std::vector<WarmUpChange>                                m_warmUpChanges;   //!< Not taken
+    std::vector<NoticeChange>                                m_noticeChanges;   //!< Not taken
+    std::vector<LimitChange>                                 m_limitChanges;    //!< Not taken
+    std::vector<deployment::LimitNews>                       m_limitNews;       //!< Not taken, one for each instance
+    std::vector<Step>                                        m_steps;           //!< Decided, not taken
+    CrashLedger                                              m_crashes;         //!< Requests that end servers
+    std::map<std::string, std::vector<LostRequest>>          m_pendingChecks;   //!< Under way, by instance
+    deployment::CrashNews                                    m_crashNews;       //!< Not taken
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/Step.hpp
+++ b/include/sailpath/balance/Step.hpp
@@ -53,10 +53,10 @@
 {
     RefusalReason  reason{RefusalReason::NoServer}; //!< Why
     bool           mayHaveRun{false};               //!< Whether some server may have run it
-    core::Duration comeBack{};                      //!< When to come back; 0 says nothing
+    core::Duration retryAfter{};                    //!< When to come back; 0 says nothing
     double         expectedMs{0};                   //!< Best estimate of its time at the servers, for the log
     double         reportAgeMs{-1};                 //!< Age of the load report behind the estimate; negative without
-    core::Duration trying{};                        //!< How long its caller is believed to have tried before
+    core::Duration triedFor{};                      //!< How long its caller is believed to have tried before
 };
 
 ////////////////////////////////////////////////////////////
@@ -69,7 +69,7 @@
     Answer,  //!< Pass on the answer of attempt `attempt`; the ticket is done
     Refuse,  //!< Answer with `refusal`; the ticket is done
     Abandon, //!< Break off attempt `attempt`; its end need not be reported
-    Check    //!< Find out whether `instance` still takes connections; answer with `Balancer::checked`
+    Check    //!< Find out whether `instance` still takes connections; answer with `Balancer::checkEnded`
 };
 
 ////////////////////////////////////////////////////////////
@@ -85,7 +85,7 @@
     core::Timestamp                             deadline{};        //!< For `Forward`: when the server has to be done
     bool                                        repeatable{false}; //!< Whether it may run more than once
     std::string                                 workspace;         //!< For `Forward`: that it is sent for
-    core::Duration                              trying{};          //!< For `Forward`: how long its caller tried before
+    core::Duration                              triedFor{};        //!< For `Forward`: how long its caller tried before
     double                                      expectedMs{0};     //!< For `Forward`: estimated time to the answer
     double                                      reportAgeMs{-1};   //!< For `Forward`: age of the load report behind it
     core::Duration                              leavingFor{};      //!< For `Forward`: since `instance` said it leaves
--- a/src/sailpath/balance/Balancer.cpp
+++ b/src/sailpath/balance/Balancer.cpp
@@ -8,13 +8,13 @@
 {
 namespace
 {
-constexpr auto     leastComeBack = std::chrono::milliseconds{50};
-constexpr auto     longestComeBack = std::chrono::seconds{2};
+constexpr auto     minRetryAfter = std::chrono::milliseconds{50};
+constexpr auto     maxRetryAfter = std::chrono::seconds{2};
 constexpr auto     misdirectedBackOff = std::chrono::seconds{2}; // Its entry is gone soon, or was wrong for a moment
-constexpr double   comeBackSpread = 0.5;  // Part of a back-off that callers' returns are spread over
-constexpr unsigned mostUnsent = 4;        // Connections that may fail to come up before a request is refused
-constexpr double   retryExtraShare = 0.6; // Of the extra; the rest covers nodes not known of
-constexpr double   worksInTarget = 0.35;  // Usual work as a part of its target latency, until answers tell
+constexpr double   retryAfterSpread = 0.5;   // Part of a back-off that callers' returns are spread over
+constexpr unsigned maxUnsentAttempts = 4;    // Connections that may fail to come up before a request is refused
+constexpr double   retryExtraShare = 0.6;    // Of the extra; the rest covers nodes not known of
+constexpr double   workShareOfTarget = 0.35; // Usual work as a part of its target latency, until answers tell
 constexpr unsigned statusServerFailed = 500;
 
 } // namespace
@@ -69,7 +69,7 @@
 ////////////////////////////////////////////////////////////
 Balancer::Balancer(Settings settings, core::Timestamp now) :
 m_settings(std::move(settings)),
-m_born(now),
+m_startedAt(now),
 m_random(m_settings.seed),
 m_quotas(m_settings.quotas)
 {
@@ -89,7 +89,7 @@
     }
     if (m_deployment)
         m_quotas.declare(m_deployment->workspaces, m_nodes, m_random, now);
-    changed = (declared.whole ? takeAll(declared, now) : takeChanged(declared, now)) || changed;
+    changed = (declared.whole ? applyAll(declared, now) : applyChanges(declared, now)) || changed;
     for (const auto& [name, pool] : m_pools)
         pool->setMembers(declared.members);
     if (!m_deployment)
@@ -101,12 +101,12 @@
             pool->second->setRule(rule, m_nodes);
     }
     if (changed)
-        expectWork();
-    admitEarly(now);
+        seedWorkEstimates();
+    admitHeld(now);
 }
 
 ////////////////////////////////////////////////////////////
-bool Balancer::takeAll(const deployment::Declared& declared, core::Timestamp now)
+bool Balancer::applyAll(const deployment::Declared& declared, core::Timestamp now)
 {
     std::unordered_map<std::string, std::vector<deployment::Instance>> byService;
     for (const deployment::Instance& instance : declared.instances)
@@ -123,7 +123,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Balancer::takeChanged(const deployment::Declared& declared, core::Timestamp now)
+bool Balancer::applyChanges(const deployment::Declared& declared, core::Timestamp now)
 {
     bool       added = false;
     const auto remove = [&](const deployment::Instance& instance)
@@ -151,20 +151,20 @@
     auto& pool = m_pools[service];
     if (!pool)
     {
-        pool = std::make_shared<ServicePool>(service, m_settings, m_born);
+        pool = std::make_shared<ServicePool>(service, m_settings, m_startedAt);
         added = true;
     }
     return pool;
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::proved(std::optional<core::Timestamp> at)
+void Balancer::setConfigurationConfirmedAt(std::optional<core::Timestamp> at)
 {
-    m_provedAt = at;
+    m_confirmedAt = at;
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::expectWork()
+void Balancer::seedWorkEstimates()
 {
     for (const deployment::HostRoute& route : m_deployment->routes)
     {
@@ -172,7 +172,7 @@
         {
             const auto pool = m_pools.find(part.service);
             if (pool != m_pools.end())
-                pool->second->work().expect(route.name, worksInTarget * core::toMilliseconds(route.targetLatency));
+                pool->second->work().expect(route.name, workShareOfTarget * core::toMilliseconds(route.targetLatency));
         }
     }
 }
@@ -189,15 +189,15 @@
         return;
     attempt.running = false;
     attempt.server->ended(now);
-    learn(request, attempt, outcome, now);
+    learnOutcome(request, attempt, outcome, now);
     if (outcome.identity)
         request.identity = outcome.identity;
     if (outcome.connectionEnded && request.identity)
-        noteLost(request, attempt, now);
+        checkAfterLoss(request, attempt, now);
 
     const bool failedAnswer = outcome.status >= statusServerFailed;
     if (outcome.end == AttemptEnd::Answered && !failedAnswer && request.identity)
-        noteServed(*request.identity, now);
+        recordServed(*request.identity, now);
     if (outcome.end == AttemptEnd::Answered && !(failedAnswer && request.route.repeatable))
     {
         abandonRunning(ticket, request, now);
@@ -214,16 +214,16 @@
     if (outcome.end == AttemptEnd::Lost)
         request.mayHaveRun = true;
     if (outcome.end == AttemptEnd::Answered)
-        request.lastAnswer = number;
-    request.comeBack = std::max(request.comeBack, outcome.comeBack);
+        request.fallbackAttempt = number;
+    request.retryAfter = std::max(request.retryAfter, outcome.retryAfter);
     const bool elsewhere = std::any_of(request.attempts.begin(), request.attempts.end(),
                                        [](const Attempt& other) { return other.running; });
     if (elsewhere)
         return;
     const bool mayRepeat = request.route.repeatable || !request.mayHaveRun;
-    if (!request.left && mayRepeat && maySendAgain(request, now) && !mayEndAnother(request, now))
+    if (!request.callerGone && mayRepeat && maySendAgain(request, now) && !mayEndAnotherServer(request, now))
     {
-        return seek(ticket, request, now);
+        return startSearch(ticket, request, now);
     }
     conclude(ticket, request, now);
 }
@@ -232,7 +232,7 @@
 void Balancer::learnLoad(ServicePool& pool, ServerView& server, const Outcome& outcome, core::Timestamp now)
 {
     if (outcome.warmUp && server.toldWarmUp(*outcome.warmUp, now))
-        m_warmth.push_back({server.instance(), *outcome.warmUp});
+        m_warmUpChanges.push_back({server.instance(), *outcome.warmUp});
     if (outcome.limit)
         learnLimit(pool, server, *outcome.limit, now);
     if (outcome.load)
@@ -245,7 +245,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::learn(Request& request, Attempt& attempt, const Outcome& outcome, core::Timestamp now)
+void Balancer::learnOutcome(Request& request, Attempt& attempt, const Outcome& outcome, core::Timestamp now)
 {
     ServerView& server = *attempt.server;
     if (outcome.end == AttemptEnd::Answered || outcome.end == AttemptEnd::NotRun)
@@ -260,20 +260,20 @@
         if (outcome.status >= statusServerFailed)
         {
             server.failed(now);
-            noteFailure(*request.pool, server, now);
+            recordFailure(*request.pool, server, now);
             break;
         }
-        server.answered(latency, attempt.plainMs);
-        request.pool->work().learn(request.route.name, latency, attempt.plainMs, attempt.crowding);
+        server.answered(latency, attempt.unscaledMs);
+        request.pool->work().learn(request.route.name, latency, attempt.unscaledMs, attempt.crowding);
         break;
     case AttemptEnd::NotRun:
         server.shed(now);
         if (outcome.misdirected)
-            noticed(server.instance(), {false, misdirectedBackOff}, NoticeSource::Misdirected, now);
+            recordNotice(server.instance(), {false, misdirectedBackOff}, NoticeSource::Misdirected, now);
         break;
     case AttemptEnd::Lost:
         server.failed(now);
-        noteFailure(*request.pool, server, now);
+        recordFailure(*request.pool, server, now);
         break;
     case AttemptEnd::NotSent:
         server.failed(now);
@@ -282,27 +282,27 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::noteFailure(ServicePool& pool, const ServerView& server, core::Timestamp now)
+void Balancer::recordFailure(ServicePool& pool, const ServerView& server, core::Timestamp now)
 {
     constexpr std::size_t most = 256; // Not taken; more only if nobody takes them
     const std::uint32_t   hash = deployment::lifeHash(*server.instance());
-    witness(pool, {0, hash}, now);
-    if (m_failures.size() < most)
-        m_failures.push_back(hash);
+    recordFailureReport(pool, {0, hash}, now);
+    if (m_failedInstances.size() < most)
+        m_failedInstances.push_back(hash);
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::heardFailures(std::span<const deployment::ServerFailure> failures, core::Timestamp now)
+void Balancer::receiveFailures(std::span<const deployment::ServerFailure> failures, core::Timestamp now)
 {
     for (const deployment::ServerFailure& failure : failures)
     {
         for (const auto& [name, pool] : m_pools)
-            witness(*pool, failure, now);
+            recordFailureReport(*pool, failure, now);
     }
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::witness(ServicePool& pool, const deployment::ServerFailure& failure, core::Timestamp now)
+void Balancer::recordFailureReport(ServicePool& pool, const deployment::ServerFailure& failure, core::Timestamp now)
 {
     if (auto suspect = pool.failedElsewhere(failure, now))
         m_suspects.push_back(std::move(suspect));
@@ -315,21 +315,22 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<WarmthNews> Balancer::takeWarmthNews()
+std::vector<WarmUpChange> Balancer::takeWarmUpChanges()
 {
-    return std::exchange(m_warmth, {});
+    return std::exchange(m_warmUpChanges, {});
 }
 
 ////////////////////////////////////////////////////////////
 std::vector<std::uint32_t> Balancer::takeFailures()
 {
-    return std::exchange(m_failures, {});
+    return std::exchange(m_failedInstances, {});
 }
 
 ////////////////////////////////////////////////////////////
 bool Balancer::maySendAgain(Request& request, core::Timestamp now) const
 {
-    if (request.sends >= request.route.attempts || request.attempts.size() >= request.route.attempts + mostUnsent)
+    if (request.sends >= request.route.attempts ||
+        request.attempts.size() >= request.route.attempts + maxUnsentAttempts)
         return false;
     if (now + core::fromMilliseconds(request.pool->work().ms(request.route.name) / 2) > request.deadline)
         return false;
@@ -339,7 +340,7 @@
 ////////////////////////////////////////////////////////////
 bool Balancer::sendAgain(Ticket ticket, Request& request, const Choice& choice, core::Timestamp now)
 {
-    if (!maySendAgain(request, now) || mayEndAnother(request, now) ||
+    if (!maySendAgain(request, now) || mayEndAnotherServer(request, now) ||
         now + core::fromMilliseconds(choice.finishMs / 2) > request.deadline)
         return false;
     // What never reached a server costs no budget.
@@ -356,15 +357,15 @@
     attempt.server = choice.server;
     attempt.sentAt = now;
     attempt.expectedMs = choice.finishMs;
-    attempt.plainMs = choice.finishMs / choice.server->ratio();
+    attempt.unscaledMs = choice.finishMs / choice.server->ratio();
     attempt.crowding = choice.crowding;
     request.pool->sent(*choice.server, now);
     if (request.attempts.empty())
         m_quotas.sent(request.workspace, now);
     if (choice.server->limit(now) != nullptr)
-        noteLimit(*choice.server, 1, now);
+        addLimitNews(*choice.server, 1, now);
     request.attempts.push_back(attempt);
-    request.tried.push_back(choice.server.get());
+    request.triedServers.push_back(choice.server.get());
     ++request.sends;
 
     Step step;
@@ -375,7 +376,7 @@
     step.deadline = request.deadline - m_settings.answerTripReserve;
     step.repeatable = request.route.repeatable;
     step.workspace = request.workspace;
-    step.trying = request.since - request.firstTry;
+    step.triedFor = request.firstByteAt - request.firstTriedAt;
     step.expectedMs = choice.finishMs;
     step.reportAgeMs = choice.server->reportAgeMs(now);
     step.leavingFor = choice.server->notices().leavingFor(now);
@@ -386,12 +387,12 @@
 ////////////////////////////////////////////////////////////
 void Balancer::conclude(Ticket ticket, Request& request, core::Timestamp now)
 {
-    if (request.lastAnswer != 0)
+    if (request.fallbackAttempt != 0)
     {
         Step step;
         step.kind = StepKind::Answer;
         step.ticket = ticket;
-        step.attempt = request.lastAnswer;
+        step.attempt = request.fallbackAttempt;
         m_steps.push_back(step);
     }
     else if (request.mayHaveRun)
@@ -400,8 +401,8 @@
     {
         const bool           backOff = request.pool->shortage(now) == Shortage::BackOff;
         const core::Duration wait =
-            backOff ? comeBackFrom(Shortage::BackOff, *request.pool, now) : comeBack(*request.pool, 0);
-        refuse(ticket, {RefusalReason::NotRun, false, std::max(request.comeBack, wait)});
+            backOff ? retryAfterShortage(Shortage::BackOff, *request.pool, now) : retryAfterWork(*request.pool, 0);
+        refuse(ticket, {RefusalReason::NotRun, false, std::max(request.retryAfter, wait)});
     }
     close(ticket);
 }
@@ -417,7 +418,7 @@
         attempt.running = false;
         attempt.server->ended(now);
         const double elapsed = core::toMilliseconds(now - attempt.sentAt);
-        attempt.server->overdue(elapsed, attempt.plainMs);
+        attempt.server->overdue(elapsed, attempt.unscaledMs);
         if (elapsed >
             m_settings.stuckFactor * std::max(attempt.expectedMs, request.pool->work().ms(request.route.name)))
             attempt.server->failed(now);
@@ -434,12 +435,12 @@
 ////////////////////////////////////////////////////////////
 void Balancer::callerLeft(Ticket ticket, core::Timestamp now)
 {
-    std::erase_if(m_early, [ticket](const Early& early) { return early.ticket == ticket; });
+    std::erase_if(m_heldRequests, [ticket](const HeldRequest& held) { return held.ticket == ticket; });
     const auto found = m_requests.find(ticket);
     if (found == m_requests.end())
         return;
     Request& request = found->second;
-    request.left = true;
+    request.callerGone = true;
     const bool sent = std::any_of(request.attempts.begin(), request.attempts.end(),
                                   [](const Attempt& attempt) { return attempt.running; });
     if (!request.route.repeatable && sent)
@@ -463,14 +464,14 @@
 {
     const auto found = m_requests.find(ticket);
     assert(found != m_requests.end());
-    m_wakes.erase({found->second.wake, ticket});
+    m_wakeTimes.erase({found->second.wakeAt, ticket});
     m_requests.erase(found);
 }
 
 ////////////////////////////////////////////////////////////
 Wish Balancer::wishOf(const Request& request) const
 {
-    Wish wish{request.route.name, request.route.repeatable, request.tried};
+    Wish wish{request.route.name, request.route.repeatable, request.triedServers};
     wish.asked = request.search.probes;
     wish.draw = request.draw;
     wish.rank = request.rank;
@@ -486,31 +487,31 @@
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration Balancer::comeBack(const ServicePool& pool, double expectedMs)
+core::Duration Balancer::retryAfterWork(const ServicePool& pool, double expectedMs)
 {
     const double base = std::max(expectedMs, pool.work().usual().workMs) * (0.5 + m_random.unit());
-    return std::clamp<core::Duration>(core::fromMilliseconds(base), leastComeBack, longestComeBack);
+    return std::clamp<core::Duration>(core::fromMilliseconds(base), minRetryAfter, maxRetryAfter);
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration Balancer::comeBackForTurn(double openness)
+core::Duration Balancer::retryAfterForTurn(double openness)
 {
     // The fewer of the requests get a turn, the longer callers stay away: all who come sooner take each other's chance.
-    const double each = core::toMilliseconds(leastComeBack) / std::max(openness, 0.001);
-    return std::clamp<core::Duration>(core::fromMilliseconds(each * (0.5 + m_random.unit())), leastComeBack,
-                                      longestComeBack);
+    const double each = core::toMilliseconds(minRetryAfter) / std::max(openness, 0.001);
+    return std::clamp<core::Duration>(core::fromMilliseconds(each * (0.5 + m_random.unit())), minRetryAfter,
+                                      maxRetryAfter);
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration Balancer::comeBackAfter(core::Duration backOff)
+core::Duration Balancer::retryAfterBackOff(core::Duration backOff)
 {
     // Not all in the same instant: the servers begin with one request of each node.
-    const double length = core::toMilliseconds(std::max<core::Duration>(backOff, leastComeBack));
-    return core::fromMilliseconds(length * (1 + comeBackSpread * m_random.unit()));
+    const double length = core::toMilliseconds(std::max<core::Duration>(backOff, minRetryAfter));
+    return core::fromMilliseconds(length * (1 + retryAfterSpread * m_random.unit()));
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::connections(const deployment::Instance& instance, unsigned idle, unsigned open)
+void Balancer::setConnectionCounts(const deployment::Instance& instance, unsigned idle, unsigned open)
 {
     const auto pool = m_pools.find(instance.service);
     if (pool == m_pools.end())
@@ -551,7 +552,7 @@
 ////////////////////////////////////////////////////////////
 std::size_t Balancer::unfinished() const
 {
-    return m_requests.size() + m_early.size();
+    return m_requests.size() + m_heldRequests.size();
 }
 
 } // namespace sailpath::balance
--- a/src/sailpath/balance/BalancerAdmission.cpp
+++ b/src/sailpath/balance/BalancerAdmission.cpp
@@ -11,13 +11,13 @@
 constexpr auto   never = core::Timestamp::max();
 constexpr double lateFactor = 1.05; // Targets that a request may be expected to take and still be let in
 constexpr double rankStep = 0.1;    // Of its time that a request gives up for each rank, so that ranks part
-constexpr double ownWorks = 2;      // Usual works an urgent request may take here before others are in its way
-constexpr auto   urgentFor = std::chrono::seconds{5}; // After its last request a route counts as under way
+constexpr double ownDelayWorks = 2; // Usual works an urgent request may take here before others are in its way
+constexpr auto   routeActiveFor = std::chrono::seconds{5}; // After its last request a route counts as under way
 
 ////////////////////////////////////////////////////////////
 /// \brief Milliseconds that a request may be expected to take and still be let in; later ranks give way sooner
 ////////////////////////////////////////////////////////////
-double mostMs(double targetMs, unsigned rank)
+double maxAdmittedMs(double targetMs, unsigned rank)
 {
     return lateFactor * targetMs / (1 + rankStep * rank);
 }
@@ -30,7 +30,7 @@
     // A caller does not come back after a denial, so an old configuration gives none.
     if (m_settings.maxConfigurationAgeToDeny == core::Duration::max())
         return true;
-    return m_provedAt && now - *m_provedAt <= m_settings.maxConfigurationAgeToDeny;
+    return m_confirmedAt && now - *m_confirmedAt <= m_settings.maxConfigurationAgeToDeny;
 }
 
 ////////////////////////////////////////////////////////////
@@ -54,20 +54,21 @@
         request.workspace = workspace->name;
         request.route.priority = workspace->priority.value_or(route->priority);
     }
-    request.pool = poolFor(*route);
-    request.since = arrival.since;
-    request.callerDeadline = arrival.timeLeft ? arrival.since + *arrival.timeLeft : never;
-    request.deadline = std::min(arrival.since + route->timeout - m_settings.answerTripReserve, request.callerDeadline);
+    request.pool = choosePool(*route);
+    request.firstByteAt = arrival.firstByteAt;
+    request.callerDeadline = arrival.timeLeft ? arrival.firstByteAt + *arrival.timeLeft : never;
+    request.deadline =
+        std::min(arrival.firstByteAt + route->timeout - m_settings.answerTripReserve, request.callerDeadline);
     request.identity = arrival.identity;
     // A request that ends its servers comes again and again, and each server takes the other requests there along.
-    if (quarantined(ticket, request, now))
+    if (refuseIfQuarantined(ticket, request, now))
         return;
     // A caller whose time is up has gone, and a server that works for him is kept from others.
     if (request.deadline <= now)
         return refuse(ticket, {RefusalReason::TimedOut, false, m_settings.defaultRetryAfter});
     request.pool->retries().requested(now);
-    request.firstTry = request.since - request.pool->arrived(*route, arrival.timeLeft, now);
-    seek(ticket, m_requests.emplace(ticket, std::move(request)).first->second, now);
+    request.firstTriedAt = request.firstByteAt - request.pool->arrived(*route, arrival.timeLeft, now);
+    startSearch(ticket, m_requests.emplace(ticket, std::move(request)).first->second, now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -88,12 +89,12 @@
     }
     if (m_quotas.lets(workspace->name, m_random, now))
         return false;
-    refuse(ticket, {RefusalReason::OverQuota, false, comeBackForTurn(m_quotas.openness(workspace->name, now))});
+    refuse(ticket, {RefusalReason::OverQuota, false, retryAfterForTurn(m_quotas.openness(workspace->name, now))});
     return true;
 }
 
 ////////////////////////////////////////////////////////////
-bool Balancer::turnsAway(const Request& request, const Choice& choice, core::Timestamp now) const
+bool Balancer::refusesForLoad(const Request& request, const Choice& choice, core::Timestamp now) const
 {
     ServicePool&      pool = *request.pool;
     const ServerView& server = *choice.server;
@@ -102,7 +103,7 @@
         return false;
     if (!mayBeInTime(request, now))
         return pool.pressed(rank, now) || pool.full(server, now) || exceedsDeadline(request, choice, now);
-    if (admits(request, choice, now))
+    if (isAdmissible(request, choice, now))
     {
         pool.letIn(rank, now);
         return false;
@@ -115,13 +116,13 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Balancer::admits(const Request& request, const Choice& choice, core::Timestamp now) const
+bool Balancer::isAdmissible(const Request& request, const Choice& choice, core::Timestamp now) const
 {
     if (!m_settings.admissionControl)
         return true;
     const unsigned rank = request.route.priority;
-    const double   passed = core::toMilliseconds(now - request.firstTry);
-    const double   most = mostMs(core::toMilliseconds(request.route.targetLatency), rank);
+    const double   passed = core::toMilliseconds(now - request.firstTriedAt);
+    const double   most = maxAdmittedMs(core::toMilliseconds(request.route.targetLatency), rank);
     const bool     late = passed + choice.finishMs > most || exceedsDeadline(request, choice, now);
     const bool     crowds = request.pool->highlyPressed(rank, now) && request.pool->full(*choice.server, now);
     return !late && !crowds && !delaysMoreUrgent(request, *choice.server, now);
@@ -136,8 +137,8 @@
 ////////////////////////////////////////////////////////////
 bool Balancer::mayBeInTime(const Request& request, core::Timestamp now)
 {
-    const double passed = core::toMilliseconds(now - request.firstTry);
-    const double most = mostMs(core::toMilliseconds(request.route.targetLatency), request.route.priority);
+    const double passed = core::toMilliseconds(now - request.firstTriedAt);
+    const double most = maxAdmittedMs(core::toMilliseconds(request.route.targetLatency), request.route.priority);
     return passed + request.pool->work().ms(request.route.name) <= most;
 }
 
@@ -145,24 +146,24 @@
 bool Balancer::delaysMoreUrgent(const Request& request, const ServerView& server, core::Timestamp now)
 {
     const ServicePool& pool = *request.pool;
-    const double       passed = core::toMilliseconds(now - request.firstTry);
+    const double       passed = core::toMilliseconds(now - request.firstTriedAt);
     const auto         delayed = [&](const std::string& name, const RouteSeen& route)
     {
-        if (route.rank >= request.route.priority || now - route.at > urgentFor || !pool.work().knows(name))
+        if (route.rank >= request.route.priority || now - route.at > routeActiveFor || !pool.work().knows(name))
             return false;
         const double between = 1 + rankStep * (request.route.priority - route.rank);
-        const double limit = mostMs(core::toMilliseconds(route.target), route.rank) / between;
+        const double limit = maxAdmittedMs(core::toMilliseconds(route.target), route.rank) / between;
         // What takes most of its target by its own work is not helped by others giving way.
-        return passed + pool.finishMs(server, name, now) > std::max(ownWorks * pool.work().ms(name), limit);
+        return passed + pool.finishMs(server, name, now) > std::max(ownDelayWorks * pool.work().ms(name), limit);
     };
     return std::any_of(pool.routes().begin(), pool.routes().end(),
                        [&](const auto& route) { return delayed(route.first, route.second); });
 }
 
 ////////////////////////////////////////////////////////////
-std::shared_ptr<ServicePool> Balancer::poolFor(const deployment::HostRoute& route)
+std::shared_ptr<ServicePool> Balancer::choosePool(const deployment::HostRoute& route)
 {
-    std::vector<double>& credit = m_credit[route.name];
+    std::vector<double>& credit = m_splitCredits[route.name];
     if (credit.size() != route.parts.size())
         credit.assign(route.parts.size(), 0.0);
     double total = 0;
@@ -186,7 +187,7 @@
     credit[best] -= 1;
     auto& pool = m_pools[route.parts[best].service];
     if (!pool)
-        pool = std::make_shared<ServicePool>(route.parts[best].service, m_settings, m_born);
+        pool = std::make_shared<ServicePool>(route.parts[best].service, m_settings, m_startedAt);
     return pool;
 }
 
--- a/src/sailpath/balance/BalancerCrashes.cpp
+++ b/src/sailpath/balance/BalancerCrashes.cpp
@@ -9,21 +9,22 @@
 {
 namespace
 {
-constexpr std::size_t mostChecked = 64; // Instances at once, and requests lost at one; what is more is not looked into
-constexpr std::size_t mostNews = 256;   // Not taken; more only if nobody takes them
-constexpr std::size_t aloneFrom = 2;    // Servers ended under a request: it goes out once at a time, and once a try
-constexpr std::size_t noSecondSend = 1; // The same: no second send while the first runs
+constexpr std::size_t maxPendingChecks =
+    64; // Instances at once, and requests lost at one; what is more is not looked into
+constexpr std::size_t maxPendingNews = 256; // Not taken; more only if nobody takes them
+constexpr std::size_t singleSendFrom = 2;   // Servers ended under a request: it goes out once at a time, and once a try
+constexpr std::size_t noHedgeFrom = 1;      // The same: no second send while the first runs
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-void Balancer::noteLost(const Request& request, const Attempt& attempt, core::Timestamp now)
+void Balancer::checkAfterLoss(const Request& request, const Attempt& attempt, core::Timestamp now)
 {
     const auto& instance = attempt.server->instance();
-    if (m_checks.size() >= mostChecked && !m_checks.contains(instance->id))
+    if (m_pendingChecks.size() >= maxPendingChecks && !m_pendingChecks.contains(instance->id))
         return;
-    std::vector<LostRequest>& lost = m_checks[instance->id];
-    if (lost.size() < mostChecked)
+    std::vector<LostRequest>& lost = m_pendingChecks[instance->id];
+    if (lost.size() < maxPendingChecks)
         lost.push_back({*request.identity, attempt.sentAt, now});
     if (lost.size() > 1)
         return; // A look is under way.
@@ -34,13 +35,13 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::checked(const deployment::Instance& instance, CheckResult result, core::Timestamp now)
+void Balancer::checkEnded(const deployment::Instance& instance, CheckResult result, core::Timestamp now)
 {
-    const auto found = m_checks.find(instance.id);
-    if (found == m_checks.end())
+    const auto found = m_pendingChecks.find(instance.id);
+    if (found == m_pendingChecks.end())
         return;
     const std::vector<LostRequest> lost = std::move(found->second);
-    m_checks.erase(found);
+    m_pendingChecks.erase(found);
     // Connections end for many reasons; a server that has ended refuses new ones.
     if (result != CheckResult::Refuses)
         return;
@@ -52,13 +53,13 @@
         end.ran = one.lostAt - one.sentAt;
         end.ago = now - one.lostAt;
         m_crashes.ended(end, now);
-        if (m_crashNews.ends.size() < mostNews)
+        if (m_crashNews.ends.size() < maxPendingNews)
             m_crashNews.ends.push_back(end);
     }
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::heardCrashes(const deployment::CrashNews& news, core::Timestamp now)
+void Balancer::receiveCrashNews(const deployment::CrashNews& news, core::Timestamp now)
 {
     for (const deployment::ServerEnd& end : news.ends)
         m_crashes.ended(end, now);
@@ -67,34 +68,34 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::noteServed(const deployment::RequestIdentity& identity, core::Timestamp now)
+void Balancer::recordServed(const deployment::RequestIdentity& identity, core::Timestamp now)
 {
     if (m_crashes.suspicion(identity.content, now) == 0)
         return;
     m_crashes.served(identity.content);
-    if (m_crashNews.served.size() < mostNews)
+    if (m_crashNews.served.size() < maxPendingNews)
         m_crashNews.served.push_back(identity.content);
 }
 
 ////////////////////////////////////////////////////////////
-bool Balancer::quarantined(Ticket ticket, const Request& request, core::Timestamp now)
+bool Balancer::refuseIfQuarantined(Ticket ticket, const Request& request, core::Timestamp now)
 {
     if (!request.identity)
         return false;
     const deployment::Quarantine* quarantine = m_crashes.find(*request.identity, now);
-    if (quarantine == nullptr && !sameIsUnderWay(request))
+    if (quarantine == nullptr && !identicalRequestInFlight(request))
         return false;
     Refusal refusal;
     refusal.reason = quarantine != nullptr ? RefusalReason::EndsServers : RefusalReason::MayEndServers;
-    refusal.comeBack = quarantine != nullptr ? quarantine->until - now : m_settings.defaultRetryAfter;
+    refusal.retryAfter = quarantine != nullptr ? quarantine->until - now : m_settings.defaultRetryAfter;
     refuse(ticket, refusal);
     return true;
 }
 
 ////////////////////////////////////////////////////////////
-bool Balancer::sameIsUnderWay(const Request& request) const
+bool Balancer::identicalRequestInFlight(const Request& request) const
 {
-    if (m_crashes.suspicion(request.identity->content, request.since) < aloneFrom)
+    if (m_crashes.suspicion(request.identity->content, request.firstByteAt) < singleSendFrom)
         return false;
     return std::any_of(m_requests.begin(), m_requests.end(),
                        [&](const auto& other) {
@@ -103,26 +104,26 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Balancer::mayEndAnother(const Request& request, core::Timestamp now) const
+bool Balancer::mayEndAnotherServer(const Request& request, core::Timestamp now) const
 {
     if (!request.identity)
         return false;
     const bool        runs = std::any_of(request.attempts.begin(), request.attempts.end(),
                                          [](const Attempt& attempt) { return attempt.running; });
-    const std::size_t most = runs ? noSecondSend : aloneFrom;
+    const std::size_t most = runs ? noHedgeFrom : singleSendFrom;
     return m_crashes.suspicion(request.identity->content, now) >= most ||
            m_crashes.find(*request.identity, now) != nullptr;
 }
 
 ////////////////////////////////////////////////////////////
-bool Balancer::looksUpRequests() const
+bool Balancer::needsRequestIdentity() const
 {
     // What comes before the first configuration is decided about with it, and with what stands in the store then.
     return !m_crashes.empty() || !configured();
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<deployment::Quarantine> Balancer::takeQuarantined()
+std::vector<deployment::Quarantine> Balancer::takeNewQuarantines()
 {
     return m_crashes.takeConcluded();
 }
--- a/src/sailpath/balance/BalancerLimits.cpp
+++ b/src/sailpath/balance/BalancerLimits.cpp
@@ -9,8 +9,8 @@
 {
 namespace
 {
-constexpr double      worthTelling = 0.1; // Requests that were sent before a limit was known
-constexpr std::size_t mostNews = 256;     // Instances not taken; more only if nobody takes them
+constexpr double      minReportedRequests = 0.1; // Requests that were sent before a limit was known
+constexpr std::size_t maxPendingNews = 256;      // Instances not taken; more only if nobody takes them
 
 } // namespace
 
@@ -21,12 +21,12 @@
     if (!server.toldLimit(perSecond, now, 0, now))
         return;
     pool.limited();
-    m_limits.push_back({server.instance(), perSecond, 0});
-    noteLimit(server, first ? server.recent(now) : 0, now);
+    m_limitChanges.push_back({server.instance(), perSecond, 0});
+    addLimitNews(server, first ? server.recent(now) : 0, now);
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::noteLimit(const ServerView& server, double sent, core::Timestamp now)
+void Balancer::addLimitNews(const ServerView& server, double sent, core::Timestamp now)
 {
     const std::uint32_t hash = deployment::lifeHash(*server.instance());
     const SharedLimit*  limit = server.limit(now);
@@ -37,12 +37,12 @@
         std::find_if(m_limitNews.begin(), m_limitNews.end(), [hash](const auto& news) { return news.server == hash; });
     if (known != m_limitNews.end())
         *known = {0, hash, word, ago, known->sent + sent, open};
-    else if (m_limitNews.size() < mostNews)
+    else if (m_limitNews.size() < maxPendingNews)
         m_limitNews.push_back({0, hash, word, ago, sent, open});
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::heardLimits(std::span<const deployment::LimitNews> news, core::Timestamp now)
+void Balancer::receiveLimitNews(std::span<const deployment::LimitNews> news, core::Timestamp now)
 {
     for (const deployment::LimitNews& one : news)
     {
@@ -55,13 +55,13 @@
                 continue;
             const bool first = server->limit(now) == nullptr;
             if (server->toldLimit(one.perSecond, now - one.ago, one.doublings, now))
-                m_limits.push_back({server->instance(), one.perSecond, one.node});
+                m_limitChanges.push_back({server->instance(), one.perSecond, one.node});
             pool->limited();
             // How open it is to the node that told has in it what that node sent.
             if (!first)
                 server->sentElsewhere(one.sent, one.doublings, now);
-            else if (server->limit(now) != nullptr && server->recent(now) > worthTelling)
-                noteLimit(*server, server->recent(now), now);
+            else if (server->limit(now) != nullptr && server->recent(now) > minReportedRequests)
+                addLimitNews(*server, server->recent(now), now);
         }
     }
 }
@@ -69,7 +69,7 @@
 ////////////////////////////////////////////////////////////
 std::vector<LimitChange> Balancer::takeLimitChanges()
 {
-    return std::exchange(m_limits, {});
+    return std::exchange(m_limitChanges, {});
 }
 
 ////////////////////////////////////////////////////////////
@@ -108,7 +108,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::heardFleet(core::Timestamp at)
+void Balancer::recordFleetContact(core::Timestamp at)
 {
     m_quotas.heardFleet(at);
 }
--- a/src/sailpath/balance/BalancerNotices.cpp
+++ b/src/sailpath/balance/BalancerNotices.cpp
@@ -8,7 +8,7 @@
 {
 namespace
 {
-constexpr std::size_t mostNews = 256; // Not taken; more only if nobody takes them
+constexpr std::size_t maxPendingNews = 256; // Not taken; more only if nobody takes them
 
 } // namespace
 
@@ -28,21 +28,21 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::noticed(const std::shared_ptr<const deployment::Instance>& instance, const ServerNotice& notice,
-                       NoticeSource source, core::Timestamp now)
+void Balancer::recordNotice(const std::shared_ptr<const deployment::Instance>& instance, const ServerNotice& notice,
+                            NoticeSource source, core::Timestamp now)
 {
     const auto pool = m_pools.find(instance->service);
     if (pool == m_pools.end())
         return;
     const ServerNotice news = pool->second->noticed(*instance, notice, m_random.unit(), now);
-    if (!news.empty() && m_notices.size() < mostNews)
-        m_notices.push_back({instance, news, source});
+    if (!news.empty() && m_noticeChanges.size() < maxPendingNews)
+        m_noticeChanges.push_back({instance, news, source});
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<NoticeChange> Balancer::takeNotices()
+std::vector<NoticeChange> Balancer::takeNoticeChanges()
 {
-    return std::exchange(m_notices, {});
+    return std::exchange(m_noticeChanges, {});
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/balance/BalancerSearch.cpp
+++ b/src/sailpath/balance/BalancerSearch.cpp
@@ -12,10 +12,10 @@
 {
 constexpr double goodFactor =
     1.2; // Usual works that a server may take and be chosen at once: one that begins at once, at its usual pace
-constexpr double   searchRoom = 1.2;      // Usual works that have to be left to look on
-constexpr unsigned mostFurtherRounds = 6; // Of probes, while what was found will do but is not good
-constexpr double leastGoodShare = 0.06; // Of servers asked of late; below it most further rounds find nothing and only
-                                        // take slots
+constexpr double   searchRoom = 1.2;     // Usual works that have to be left to look on
+constexpr unsigned maxFurtherRounds = 6; // Of probes, while what was found will do but is not good
+constexpr double   minGoodShare = 0.06;  // Of servers asked of late; below it most further rounds find nothing and only
+                                         // take slots
 
 ////////////////////////////////////////////////////////////
 RefusalReason reasonOf(Shortage shortage)
@@ -41,23 +41,23 @@
 } // namespace
 
 ////////////////////////////////////////////////////////////
-void Balancer::seek(Ticket ticket, Request& request, core::Timestamp now)
+void Balancer::startSearch(Ticket ticket, Request& request, core::Timestamp now)
 {
     request.search = Search{};
-    request.draw = static_cast<std::uint32_t>(core::mix(static_cast<std::uint32_t>(m_settings.seed), ++m_searches));
+    request.draw = static_cast<std::uint32_t>(core::mix(static_cast<std::uint32_t>(m_settings.seed), ++m_searchCount));
     request.rank = request.pool->anyLimited(now) ? request.pool->moreUrgent(request.route.priority, now) : 0;
     // What comes back late gets no room, and none is looked for, while others could still be in time.
     const bool gated = m_settings.admissionControl && request.attempts.empty();
     if (gated && request.pool->pressed(request.route.priority, now) && !mayBeInTime(request, now))
     {
-        Refusal refusal{RefusalReason::CameBackLate, false, comeBack(*request.pool, 0)};
-        refusal.trying = request.since - request.firstTry;
+        Refusal refusal{RefusalReason::CameBackLate, false, retryAfterWork(*request.pool, 0)};
+        refusal.triedFor = request.firstByteAt - request.firstTriedAt;
         refuse(ticket, refusal);
         return close(ticket);
     }
     const Choice choice = request.pool->choose(wishOf(request), now, m_random);
-    if (!choice.server || !request.pool->mayProbe() || good(request, choice, now))
-        return settle(ticket, request, choice, now);
+    if (!choice.server || !request.pool->mayProbe() || isGood(request, choice, now))
+        return finishSearch(ticket, request, choice, now);
     request.search.active = true;
     beginRound(ticket, request, now);
 }
@@ -77,14 +77,14 @@
         servers = request.pool->worthProbing(wish, search.asked, most, now, m_random);
     }
     search.pausing = false;
-    search.waiting = 0;
+    search.pendingProbes = 0;
     search.roundStart = search.probes.size();
-    search.next = now + m_settings.probeRoundTimeout;
+    search.endsAt = now + m_settings.probeRoundTimeout;
     for (const auto& server : servers)
     {
         if (!request.pool->takeProbe(now))
             break;
-        ++search.waiting;
+        ++search.pendingProbes;
         search.asked.push_back(server.get());
         search.probes.push_back(server);
         Step step;
@@ -95,13 +95,13 @@
         step.path = request.pool->healthPath();
         m_steps.push_back(std::move(step));
     }
-    if (search.waiting == 0)
-        return settle(ticket, request, request.pool->choose(wishOf(request), now, m_random), now);
-    plan(ticket, request, now);
+    if (search.pendingProbes == 0)
+        return finishSearch(ticket, request, request.pool->choose(wishOf(request), now, m_random), now);
+    scheduleWake(ticket, request, now);
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::probed(Ticket ticket, unsigned probe, const Outcome& outcome, core::Timestamp now)
+void Balancer::probeEnded(Ticket ticket, unsigned probe, const Outcome& outcome, core::Timestamp now)
 {
     const auto found = m_requests.find(ticket);
     if (found == m_requests.end())
@@ -118,13 +118,13 @@
         server.failed(now);
     if (!search.active || search.pausing || probe <= search.roundStart)
         return;
-    --search.waiting;
+    --search.pendingProbes;
     Wish wish = wishOf(request);
     wish.freshest = m_settings.freshReportAge;
     const Choice choice = request.pool->choose(wish, now, m_random);
-    if (choice.server && good(request, choice, now))
-        return settle(ticket, request, choice, now);
-    if (search.waiting == 0)
+    if (choice.server && isGood(request, choice, now))
+        return finishSearch(ticket, request, choice, now);
+    if (search.pendingProbes == 0)
         endRound(ticket, request, now);
 }
 
@@ -136,45 +136,45 @@
     const bool   hasTime =
         meetsTarget(request, searchRoom * typical + core::toMilliseconds(m_settings.probeRoundPause), now);
     if (!choice.server || !hasTime)
-        return settle(ticket, request, choice, now);
+        return finishSearch(ticket, request, choice, now);
     // What looks better than those that were asked may only be less known.
-    if (!fresh(choice, now) && request.search.asked.size() < request.pool->size())
+    if (!isFresh(choice, now) && request.search.asked.size() < request.pool->size())
         return beginRound(ticket, request, now);
     // A server that the request would be turned away from ends no search: the next that is asked may have room. In a
     // shortage there is nothing to be found, and probes take what little room there is.
     const bool shortage = request.pool->highlyPressed(request.route.priority, now);
-    const bool takes = shortage || !request.attempts.empty() || admits(request, choice, now);
+    const bool takes = shortage || !request.attempts.empty() || isAdmissible(request, choice, now);
     if (takes && meetsTarget(request, choice.finishMs, now))
     {
-        const bool enough = shortage || good(request, choice, now) || !worthLookingOn(request);
-        return enough ? settle(ticket, request, choice, now) : lookOn(ticket, request, now);
+        const bool enough = shortage || isGood(request, choice, now) || !worthFurtherRound(request);
+        return enough ? finishSearch(ticket, request, choice, now) : searchFurther(ticket, request, now);
     }
     request.search.pausing = true;
-    request.search.next = now + m_settings.probeRoundPause;
-    plan(ticket, request, now);
+    request.search.endsAt = now + m_settings.probeRoundPause;
+    scheduleWake(ticket, request, now);
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::lookOn(Ticket ticket, Request& request, core::Timestamp now)
+void Balancer::searchFurther(Ticket ticket, Request& request, core::Timestamp now)
 {
     ++request.search.furtherRounds;
     beginRound(ticket, request, now);
 }
 
 ////////////////////////////////////////////////////////////
-bool Balancer::worthLookingOn(const Request& request)
+bool Balancer::worthFurtherRound(const Request& request)
 {
     // Where a third of the servers is slow and the others work on something, the first that will do is late for one
     // request in ten, a good one for one in a hundred; a round takes 1 to 3 ms when servers have room.
     const ServicePool& pool = *request.pool;
     const bool         othersLeft = request.search.asked.size() < pool.size();
-    return request.search.furtherRounds < mostFurtherRounds && othersLeft && pool.goodShare() > leastGoodShare;
+    return request.search.furtherRounds < maxFurtherRounds && othersLeft && pool.goodShare() > minGoodShare;
 }
 
 ////////////////////////////////////////////////////////////
-bool Balancer::good(const Request& request, const Choice& choice, core::Timestamp now) const
+bool Balancer::isGood(const Request& request, const Choice& choice, core::Timestamp now) const
 {
-    return fresh(choice, now) && looksGood(request, choice.finishMs);
+    return isFresh(choice, now) && looksGood(request, choice.finishMs);
 }
 
 ////////////////////////////////////////////////////////////
@@ -185,7 +185,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Balancer::fresh(const Choice& choice, core::Timestamp now) const
+bool Balancer::isFresh(const Choice& choice, core::Timestamp now) const
 {
     const double age = choice.server->reportAgeMs(now);
     return age >= 0 && age <= core::toMilliseconds(m_settings.freshReportAge);
@@ -195,11 +195,11 @@
 bool Balancer::meetsTarget(const Request& request, double finishMs, core::Timestamp now) const
 {
     const auto done = now + core::fromMilliseconds(finishMs) + m_settings.answerTripReserve;
-    return done <= request.firstTry + request.route.targetLatency;
+    return done <= request.firstTriedAt + request.route.targetLatency;
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::settle(Ticket ticket, Request& request, const Choice& choice, core::Timestamp now)
+void Balancer::finishSearch(Ticket ticket, Request& request, const Choice& choice, core::Timestamp now)
 {
     request.search.active = false;
     if (!request.attempts.empty())
@@ -208,34 +208,34 @@
         const bool useful = choice.server && (!running || meetsTarget(request, choice.finishMs, now) ||
                                               now - request.attempts.back().sentAt > request.route.targetLatency);
         if (useful && sendAgain(ticket, request, choice, now))
-            return plan(ticket, request, now);
+            return scheduleWake(ticket, request, now);
         if (running)
-            return plan(ticket, request, now);
+            return scheduleWake(ticket, request, now);
         return conclude(ticket, request, now);
     }
     if (!choice.server)
     {
         const Shortage shortage = request.pool->shortage(now);
-        refuse(ticket, {reasonOf(shortage), false, comeBackFrom(shortage, *request.pool, now)});
+        refuse(ticket, {reasonOf(shortage), false, retryAfterShortage(shortage, *request.pool, now)});
         return close(ticket);
     }
-    if (turnsAway(request, choice, now))
+    if (refusesForLoad(request, choice, now))
     {
-        refuse(ticket, {RefusalReason::Overloaded, false, comeBack(*request.pool, choice.finishMs), choice.finishMs,
-                        choice.server->reportAgeMs(now), request.since - request.firstTry});
+        refuse(ticket, {RefusalReason::Overloaded, false, retryAfterWork(*request.pool, choice.finishMs),
+                        choice.finishMs, choice.server->reportAgeMs(now), request.firstByteAt - request.firstTriedAt});
         return close(ticket);
     }
     forward(ticket, request, choice, now);
-    plan(ticket, request, now);
+    scheduleWake(ticket, request, now);
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration Balancer::comeBackFrom(Shortage shortage, const ServicePool& pool, core::Timestamp now)
+core::Duration Balancer::retryAfterShortage(Shortage shortage, const ServicePool& pool, core::Timestamp now)
 {
     if (shortage == Shortage::Limited)
-        return comeBackForTurn(pool.openness(now));
+        return retryAfterForTurn(pool.openness(now));
     if (shortage == Shortage::BackOff)
-        return comeBackAfter(pool.shortestBackOff(now));
+        return retryAfterBackOff(pool.shortestBackOff(now));
     return m_settings.defaultRetryAfter;
 }
 
--- a/src/sailpath/balance/BalancerTiming.cpp
+++ b/src/sailpath/balance/BalancerTiming.cpp
@@ -9,8 +9,8 @@
 {
 namespace
 {
-constexpr double hedgeRoom = 1.2;       // Further time over the estimate that a second send is given
-constexpr double leastHedgeWorks = 1.3; // Expected times that the first send is given
+constexpr double hedgeRoom = 1.2;          // Further time over the estimate that a second send is given
+constexpr double minHedgeDelayWorks = 1.3; // Expected times that the first send is given
 constexpr auto   never = core::Timestamp::max();
 
 } // namespace
@@ -18,40 +18,41 @@
 ////////////////////////////////////////////////////////////
 void Balancer::hold(Ticket ticket, const Arrival& arrival, core::Timestamp now)
 {
-    m_early.push_back({ticket, std::string(arrival.host), std::string(arrival.target), std::string(arrival.key),
-                       arrival.since, arrival.timeLeft, now + m_settings.configurationWait, arrival.identity});
+    m_heldRequests.push_back({ticket, std::string(arrival.host), std::string(arrival.target), std::string(arrival.key),
+                              arrival.firstByteAt, arrival.timeLeft, now + m_settings.configurationWait,
+                              arrival.identity});
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::admitEarly(core::Timestamp now)
+void Balancer::admitHeld(core::Timestamp now)
 {
-    for (const Early& early : std::exchange(m_early, {}))
-        admit(early.ticket, {early.host, early.target, early.since, early.timeLeft, early.identity, early.key}, now);
+    for (const HeldRequest& held : std::exchange(m_heldRequests, {}))
+        admit(held.ticket, {held.host, held.target, held.firstByteAt, held.timeLeft, held.identity, held.key}, now);
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::plan(Ticket ticket, Request& request, core::Timestamp now)
+void Balancer::scheduleWake(Ticket ticket, Request& request, core::Timestamp now)
 {
-    if (request.wake != core::Timestamp{})
-        m_wakes.erase({request.wake, ticket});
-    request.wake = request.deadline;
+    if (request.wakeAt != core::Timestamp{})
+        m_wakeTimes.erase({request.wakeAt, ticket});
+    request.wakeAt = request.deadline;
     if (request.search.active)
-        request.wake = std::min(request.wake, request.search.next);
+        request.wakeAt = std::min(request.wakeAt, request.search.endsAt);
     if (request.search.active || request.attempts.empty())
     {
-        m_wakes.insert({request.wake, ticket});
+        m_wakeTimes.insert({request.wakeAt, ticket});
         return;
     }
     const Attempt& last = request.attempts.back();
-    const bool     mayHedge = m_settings.hedging && request.route.repeatable && !request.left &&
+    const bool     mayHedge = m_settings.hedging && request.route.repeatable && !request.callerGone &&
                           request.sends < request.route.attempts && last.running;
     if (mayHedge)
     {
         const double typical = request.pool->work().ms(request.route.name);
-        const auto   target = request.firstTry + request.route.targetLatency;
+        const auto   target = request.firstTriedAt + request.route.targetLatency;
         const auto latestUseful = target - core::fromMilliseconds(hedgeRoom * typical) - m_settings.answerTripReserve -
                                   m_settings.probeRoundTimeout - m_settings.connectCost;
-        const auto patience = last.sentAt + core::fromMilliseconds(leastHedgeWorks * typical);
+        const auto patience = last.sentAt + core::fromMilliseconds(minHedgeDelayWorks * typical);
         const auto stuck =
             last.sentAt + core::fromMilliseconds(m_settings.stuckFactor * std::max(typical, last.expectedMs));
         // Later than that a second send cannot meet the target; then it is only for what is stuck.
@@ -59,32 +60,32 @@
         if (at <= now)
             at = std::max(stuck, now + core::fromMilliseconds(typical));
         at = std::max(at, request.noHedgeUntil);
-        request.wake = std::min(request.wake, at);
+        request.wakeAt = std::min(request.wakeAt, at);
     }
-    m_wakes.insert({request.wake, ticket});
+    m_wakeTimes.insert({request.wakeAt, ticket});
 }
 
 ////////////////////////////////////////////////////////////
 void Balancer::hedge(Ticket ticket, Request& request, core::Timestamp now)
 {
-    if (!maySendAgain(request, now) || mayEndAnother(request, now))
+    if (!maySendAgain(request, now) || mayEndAnotherServer(request, now))
     {
         // Looked at again only when it is stuck; the deadline ends it in any case.
         request.noHedgeUntil =
             now + core::fromMilliseconds(m_settings.stuckFactor * request.pool->work().ms(request.route.name));
-        return plan(ticket, request, now);
+        return scheduleWake(ticket, request, now);
     }
-    seek(ticket, request, now);
+    startSearch(ticket, request, now);
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::due(core::Timestamp now)
+void Balancer::processDue(core::Timestamp now)
 {
-    for (; !m_early.empty() && m_early.front().until <= now; m_early.pop_front())
-        refuse(m_early.front().ticket, {RefusalReason::NotConfigured, false, m_settings.defaultRetryAfter});
-    while (!m_wakes.empty() && m_wakes.begin()->first <= now)
+    for (; !m_heldRequests.empty() && m_heldRequests.front().until <= now; m_heldRequests.pop_front())
+        refuse(m_heldRequests.front().ticket, {RefusalReason::NotConfigured, false, m_settings.defaultRetryAfter});
+    while (!m_wakeTimes.empty() && m_wakeTimes.begin()->first <= now)
     {
-        const Ticket ticket = m_wakes.begin()->second;
+        const Ticket ticket = m_wakeTimes.begin()->second;
         Request&     request = m_requests.at(ticket);
         if (request.deadline <= now)
             timeOut(ticket, request, now);
@@ -110,10 +111,10 @@
 std::optional<core::Timestamp> Balancer::nextDue() const
 {
     std::optional<core::Timestamp> next;
-    if (!m_wakes.empty())
-        next = m_wakes.begin()->first;
-    if (!m_early.empty())
-        next = std::min(next.value_or(never), m_early.front().until);
+    if (!m_wakeTimes.empty())
+        next = m_wakeTimes.begin()->first;
+    if (!m_heldRequests.empty())
+        next = std::min(next.value_or(never), m_heldRequests.front().until);
     return next;
 }
 
--- a/src/sailpath/balance/Pressure.cpp
+++ b/src/sailpath/balance/Pressure.cpp
@@ -4,7 +4,7 @@
 {
 namespace
 {
-constexpr auto   pressedFor = std::chrono::seconds{2}; // Those turned away are back by then: the longest `comeBack`
+constexpr auto   pressedFor = std::chrono::seconds{2}; // Those turned away are back by then: the longest `retryAfter`
 constexpr double gain = 0.2;                           // Share of one request in the share refused
 constexpr double highShare = 0.5;                      // More are turned away than let in
 
--- a/src/sailpath/gateway/AnswerHead.cpp
+++ b/src/sailpath/gateway/AnswerHead.cpp
@@ -135,7 +135,7 @@
         outcome.limit = limitOf(head, dialect, success ? std::optional(balance::unlimited) : std::nullopt);
     // What a 503 asks for is asked of this node; other servers may take the caller's request before.
     if (head.status != statusUnavailable)
-        outcome.comeBack = retryAfterOf(head.field("Retry-After"));
+        outcome.retryAfter = retryAfterOf(head.field("Retry-After"));
     if (success)
     {
         const bool whole = head.has(dialect.signature) && !head.has("Content-Encoding");
--- a/src/sailpath/gateway/Exchange.cpp
+++ b/src/sailpath/gateway/Exchange.cpp
@@ -87,7 +87,7 @@
     ++attempts;
     workspace = step.workspace;
     decidedAt = decidedAt.value_or(now);
-    trying = step.trying;
+    trying = step.triedFor;
     if (!trail.empty())
         trail += ',';
     trail += std::to_string(step.attempt) + ":" + step.instance->id + "@" +
--- a/src/sailpath/gateway/Gateway.cpp
+++ b/src/sailpath/gateway/Gateway.cpp
@@ -37,7 +37,7 @@
 servers(
     loop, settings, names,
     [this](const deployment::Instance& instance, unsigned idle, unsigned open)
-    { balancer.connections(instance, idle, open); },
+    { balancer.setConnectionCounts(instance, idle, open); },
     [this](const std::shared_ptr<const deployment::Instance>& instance, const balance::ServerNotice& notice,
            balance::NoticeSource source) { noticed(instance, notice, source); }),
 acceptor(listenOn(loop, settings.listen)),
@@ -169,7 +169,7 @@
     stoodSince = at - gap;
     caughtUpAt = at + catchUp;
     // What has fallen due meanwhile goes before what has arrived: else a request whose time is up is sent once more.
-    balancer.due(at);
+    balancer.processDue(at);
     carryOut();
 }
 
@@ -294,7 +294,7 @@
 {
     // Requests that were held for the first configuration are decided about with it.
     if (m_impl->provedAt)
-        m_impl->balancer.proved(m_impl->provedAt());
+        m_impl->balancer.setConfigurationConfirmedAt(m_impl->provedAt());
     m_impl->balancer.configure(declared, core::now());
     m_impl->servers.setEvacuated(declared.evacuated);
     m_impl->servers.closeEarlierLives(declared.instances);
@@ -332,7 +332,7 @@
 ////////////////////////////////////////////////////////////
 void Gateway::hearFailures(std::span<const deployment::ServerFailure> failures)
 {
-    m_impl->balancer.heardFailures(failures, core::now());
+    m_impl->balancer.receiveFailures(failures, core::now());
     m_impl->logBeliefs();
 }
 
@@ -347,7 +347,7 @@
 ////////////////////////////////////////////////////////////
 void Gateway::hearCrashes(const deployment::CrashNews& news)
 {
-    m_impl->balancer.heardCrashes(news, core::now());
+    m_impl->balancer.receiveCrashNews(news, core::now());
     m_impl->logBeliefs();
 }
 
@@ -360,7 +360,7 @@
 ////////////////////////////////////////////////////////////
 void Gateway::hearLimits(std::span<const deployment::LimitNews> news)
 {
-    m_impl->balancer.heardLimits(news, core::now());
+    m_impl->balancer.receiveLimitNews(news, core::now());
     m_impl->logBeliefs();
 }
 
--- a/src/sailpath/gateway/GatewayRequests.cpp
+++ b/src/sailpath/gateway/GatewayRequests.cpp
@@ -65,7 +65,7 @@
     const std::string target(http::pathOf(request.head.target));
     arrival.host = host;
     arrival.target = target;
-    arrival.since = request.since;
+    arrival.firstByteAt = request.since;
     arrival.timeLeft = timeLeft(request.head.field(dialect.deadlineMs));
     const std::string key(keyOf(request.head));
     arrival.key = key;
@@ -86,8 +86,8 @@
     if (workspace != nullptr)
         exchange.workspace = workspace->name;
     if ((route == nullptr || workspace == nullptr) && provedAt)
-        balancer.proved(provedAt());
-    if (balancer.looksUpRequests())
+        balancer.setConfigurationConfirmedAt(provedAt());
+    if (balancer.needsRequestIdentity())
         arrival.identity = exchange.identity();
     balancer.admit(ticket, arrival, core::now());
     carryOut();
@@ -149,7 +149,7 @@
 void Gateway::Impl::noteContact()
 {
     if (const auto at = heardFleet())
-        balancer.heardFleet(*at);
+        balancer.recordFleetContact(*at);
 }
 
 ////////////////////////////////////////////////////////////
@@ -214,7 +214,7 @@
 ////////////////////////////////////////////////////////////
 void Gateway::Impl::logBeliefs()
 {
-    for (deployment::Quarantine& quarantine : balancer.takeQuarantined())
+    for (deployment::Quarantine& quarantine : balancer.takeNewQuarantines())
     {
         const bool takenBack = quarantine.until <= core::now();
         events.write(ports::Level::Warning, takenBack ? "quarantine-taken-back" : "request-quarantined",
@@ -229,15 +229,15 @@
     for (const auto& instance : balancer.takeSuspects())
         events.write(ports::Level::Info, "server-suspected",
                      {{"instance", instance->id}, {"service", instance->service}});
-    for (const balance::WarmthNews& news : balancer.takeWarmthNews())
-        events.write(ports::Level::Info, news.left.count() > 0 ? "server-cold" : "server-warm",
+    for (const balance::WarmUpChange& news : balancer.takeWarmUpChanges())
+        events.write(ports::Level::Info, news.coldFor.count() > 0 ? "server-cold" : "server-warm",
                      {{"instance", news.instance->id},
                       {"service", news.instance->service},
                       {"source", "health-answer"},
-                      {"leftMs", core::toMilliseconds(news.left)}});
+                      {"leftMs", core::toMilliseconds(news.coldFor)}});
     for (const balance::LimitChange& change : balancer.takeLimitChanges())
         logLimit(change);
-    for (const balance::NoticeChange& change : balancer.takeNotices())
+    for (const balance::NoticeChange& change : balancer.takeNoticeChanges())
         logNotice(change);
 }
 
@@ -276,7 +276,7 @@
 void Gateway::Impl::noticed(const std::shared_ptr<const deployment::Instance>& instance,
                             const balance::ServerNotice& notice, balance::NoticeSource source)
 {
-    balancer.noticed(instance, notice, source, core::now());
+    balancer.recordNotice(instance, notice, source, core::now());
     logBeliefs();
 }
 
@@ -302,7 +302,7 @@
             if (error)
                 return;
             armed.reset();
-            balancer.due(core::now());
+            balancer.processDue(core::now());
             carryOut();
         });
 }
@@ -367,7 +367,7 @@
     servers.check(step.instance,
                   [this, instance = step.instance](balance::CheckResult result)
                   {
-                      balancer.checked(*instance, result, core::now());
+                      balancer.checkEnded(*instance, result, core::now());
                       carryOut();
                   });
 }
@@ -390,7 +390,7 @@
                                                                 const priv::ServerAnswer& answer)
                {
                    noteFields(*instance, answer.head);
-                   balancer.probed(ticket, number, outcome, core::now());
+                   balancer.probeEnded(ticket, number, outcome, core::now());
                    carryOut();
                });
 }
@@ -403,7 +403,7 @@
     const auto found = exchanges.find(ticket);
     if (found != exchanges.end())
     {
-        if (outcome.connectionEnded || balancer.looksUpRequests())
+        if (outcome.connectionEnded || balancer.needsRequestIdentity())
             outcome.identity = found->second.identity();
         found->second.sends.erase(attempt);
         found->second.ended(attempt, outcome, core::now());
@@ -431,9 +431,9 @@
     }
     else
     {
-        const OwnAnswer own{statusOf(step.refusal), balance::toString(step.refusal.reason), step.refusal.comeBack};
+        const OwnAnswer own{statusOf(step.refusal), balance::toString(step.refusal.reason), step.refusal.retryAfter};
         ++(step.refusal.mayHaveRun ? counters.failed : counters.refused);
-        exchange.trying = std::max(exchange.trying, step.refusal.trying);
+        exchange.trying = std::max(exchange.trying, step.refusal.triedFor);
         if (step.refusal.reason == balance::RefusalReason::EndsServers)
             noteQuarantine(exchange);
         if (step.refusal.reason == balance::RefusalReason::OverQuota)
--- a/test/balance/Balancer.test.cpp
+++ b/test/balance/Balancer.test.cpp
@@ -108,7 +108,7 @@
         for (auto due = balancer.nextDue(); due && *due <= until; due = balancer.nextDue())
         {
             now = std::max(now, *due);
-            balancer.due(now);
+            balancer.processDue(now);
             for (Step& step : steps())
                 all.push_back(std::move(step));
         }
@@ -153,7 +153,7 @@
         outcome.end = AttemptEnd::Answered;
         outcome.status = 200;
         outcome.load = load;
-        balancer.probed(step.ticket, step.attempt, outcome, now);
+        balancer.probeEnded(step.ticket, step.attempt, outcome, now);
         return steps();
     }
 
@@ -189,13 +189,13 @@
     BOOST_TEST(taken.empty());
     BOOST_REQUIRE(fresh.nextDue().has_value());
     BOOST_TEST((*fresh.nextDue() <= now + 100ms));
-    fresh.due(*fresh.nextDue());
+    fresh.processDue(*fresh.nextDue());
     fresh.takeSteps(taken);
     BOOST_TEST(fresh.unfinished() == 0U);
     const Step& refused = only(taken, StepKind::Refuse);
     BOOST_TEST((refused.refusal.reason == RefusalReason::NotConfigured));
     BOOST_TEST(!refused.refusal.mayHaveRun);
-    BOOST_TEST(refused.refusal.comeBack.count() > 0);
+    BOOST_TEST(refused.refusal.retryAfter.count() > 0);
 }
 
 BOOST_AUTO_TEST_CASE(WhatComesJustBeforeTheFirstConfigurationIsServed)
@@ -218,7 +218,7 @@
     // The load: one server of four fails half of its requests, its health is good, and this node has met it seldom.
     const std::vector<deployment::ServerFailure> seen{{1, deployment::shortHash("s1")},
                                                       {2, deployment::shortHash("s1")}};
-    balancer.heardFailures(seen, now);
+    balancer.receiveFailures(seen, now);
     const auto suspects = balancer.takeSuspects();
     BOOST_REQUIRE_EQUAL(suspects.size(), 1U);
     BOOST_TEST(suspects[0]->id == "s1");
@@ -236,7 +236,7 @@
 BOOST_AUTO_TEST_CASE(OneNodesWordTakesNoServerAway)
 {
     for (int report = 0; report < 5; ++report)
-        balancer.heardFailures(std::vector<deployment::ServerFailure>{{1, deployment::shortHash("s1")}}, now);
+        balancer.receiveFailures(std::vector<deployment::ServerFailure>{{1, deployment::shortHash("s1")}}, now);
     std::set<std::string> used;
     collect(1, used);
     BOOST_TEST(used.count("s1") == 1U);
@@ -248,7 +248,8 @@
     for (const std::uint32_t node : {1U, 2U, 3U})
     {
         for (const char* server : {"s1", "s2", "s3", "s4"})
-            balancer.heardFailures(std::vector<deployment::ServerFailure>{{node, deployment::shortHash(server)}}, now);
+            balancer.receiveFailures(std::vector<deployment::ServerFailure>{{node, deployment::shortHash(server)}},
+                                     now);
     }
     std::set<std::string> used;
     collect(1, used);
@@ -271,7 +272,7 @@
         for (const deployment::Instance& instance : declared.instances)
         {
             const std::uint32_t hash = deployment::shortHash(instance.id);
-            balancer.heardFailures(std::vector<deployment::ServerFailure>{{1, hash}, {2, hash}, {3, hash}}, now);
+            balancer.receiveFailures(std::vector<deployment::ServerFailure>{{1, hash}, {2, hash}, {3, hash}}, now);
             std::erase_if(suspected, [&](core::Timestamp since) { return now - since >= 8s; });
             for (std::size_t count = balancer.takeSuspects().size(); count > 0; --count)
                 suspected.push_back(now);
@@ -316,8 +317,8 @@
     };
     old.configure(declared, now);
     BOOST_TEST((refusal(now).reason == RefusalReason::OldRoutes));
-    BOOST_TEST((refusal(now).comeBack > 0ms));
-    old.proved(now);
+    BOOST_TEST((refusal(now).retryAfter > 0ms));
+    old.setConfigurationConfirmedAt(now);
     BOOST_TEST((refusal(now + 2s).reason == RefusalReason::NoRoute));
     BOOST_TEST((refusal(now + 2001ms).reason == RefusalReason::OldRoutes));
 }
@@ -329,7 +330,7 @@
     const auto  taken = admit(1);
     const Step& refused = only(taken, StepKind::Refuse);
     BOOST_TEST((refused.refusal.reason == RefusalReason::NoServer));
-    BOOST_TEST(refused.refusal.comeBack.count() > 0);
+    BOOST_TEST(refused.refusal.retryAfter.count() > 0);
 }
 
 BOOST_AUTO_TEST_CASE(DrainingServersGetNothing)
@@ -365,7 +366,7 @@
     const Step& refused = only(ended, StepKind::Refuse);
     BOOST_TEST((refused.refusal.reason == RefusalReason::NotRun));
     BOOST_TEST(!refused.refusal.mayHaveRun);
-    BOOST_TEST(refused.refusal.comeBack.count() > 0);
+    BOOST_TEST(refused.refusal.retryAfter.count() > 0);
 }
 
 BOOST_AUTO_TEST_CASE(WhatMayNotBeRepeatedIsNeverHedged)
@@ -612,7 +613,7 @@
     for (const char* id : {"s7", "s9", "s11"})
     {
         connected.insert(id);
-        balancer.connections(instanceOf(id), 1, 1);
+        balancer.setConnectionCounts(instanceOf(id), 1, 1);
     }
     std::size_t known = 0;
     for (Ticket ticket = 2; ticket < 22; ++ticket)
@@ -630,7 +631,7 @@
 {
     learnLoad(1);
     for (const char* id : {"s1", "s2", "s3", "s4"})
-        balancer.connections(instanceOf(id), 1, 1);
+        balancer.setConnectionCounts(instanceOf(id), 1, 1);
     declared.instances.push_back(instanceOf("new"));
     configure();
     const auto asked = [&](Ticket from, bool answering)
@@ -780,8 +781,8 @@
     BOOST_REQUIRE(late.size() == 1U);
     BOOST_TEST((late[0].refusal.reason == RefusalReason::CameBackLate));
     BOOST_TEST(!late[0].refusal.mayHaveRun);
-    BOOST_TEST((late[0].refusal.comeBack > 0ms));
-    BOOST_TEST((late[0].refusal.trying > 400ms));
+    BOOST_TEST((late[0].refusal.retryAfter > 0ms));
+    BOOST_TEST((late[0].refusal.triedFor > 400ms));
 }
 
 BOOST_AUTO_TEST_CASE(AnOddCallersPatienceDoesNotMakeTheOthersLookLate)
@@ -796,7 +797,7 @@
     const auto odd = admit(++ticket, "/read/1", 1h);
     (void)end(only(odd, StepKind::Forward), AttemptEnd::Answered);
     const auto next = admit(++ticket);
-    BOOST_TEST((only(next, StepKind::Forward).trying < 100ms));
+    BOOST_TEST((only(next, StepKind::Forward).triedFor < 100ms));
 }
 
 BOOST_AUTO_TEST_CASE(ProbesKeepTheirBudget)
@@ -890,10 +891,10 @@
     BOOST_TEST(taken.empty());
     early.callerLeft(2, now);
     early.configure(known, now + 50ms);
-    early.due(now + 99ms);
+    early.processDue(now + 99ms);
     early.takeSteps(taken);
     BOOST_TEST(taken.empty());
-    early.due(now + 100ms);
+    early.processDue(now + 100ms);
     early.takeSteps(taken);
     BOOST_TEST((only(taken, StepKind::Refuse).refusal.reason == RefusalReason::NotConfigured));
 
@@ -1061,7 +1062,7 @@
         {
             ++refused;
             BOOST_TEST(!sent[0].refusal.mayHaveRun);
-            BOOST_TEST(sent[0].refusal.comeBack.count() > 0);
+            BOOST_TEST(sent[0].refusal.retryAfter.count() > 0);
         }
         else
             (void)end(only(sent, StepKind::Forward), AttemptEnd::Answered);
--- a/test/balance/BalancerModel.test.cpp
+++ b/test/balance/BalancerModel.test.cpp
@@ -187,7 +187,7 @@
                 const Sent sent = item->second;
                 item = list->erase(item);
                 if (sent.probe)
-                    node.balancer->probed(key.first, key.second, sent.outcome, m_now);
+                    node.balancer->probeEnded(key.first, key.second, sent.outcome, m_now);
                 else
                 {
                     if (sent.outcome.end == AttemptEnd::NotRun)
@@ -206,7 +206,7 @@
         }
         if (const auto due = node.balancer->nextDue(); due && *due <= m_now)
         {
-            node.balancer->due(m_now);
+            node.balancer->processDue(m_now);
             take(node);
         }
         for (const auto& [ticket, since] : node.open)
--- a/test/balance/Evacuation.test.cpp
+++ b/test/balance/Evacuation.test.cpp
@@ -89,7 +89,7 @@
         outcome.status = 200;
         outcome.load = load;
         outcome.warmUp = warmUp;
-        balancer.probed(step.ticket, step.attempt, outcome, now);
+        balancer.probeEnded(step.ticket, step.attempt, outcome, now);
         return steps();
     }
 
@@ -100,7 +100,7 @@
         for (auto due = balancer.nextDue(); due && *due <= until; due = balancer.nextDue())
         {
             now = std::max(now, *due);
-            balancer.due(now);
+            balancer.processDue(now);
             for (Step& step : steps())
                 all.push_back(std::move(step));
         }
@@ -213,7 +213,7 @@
     BOOST_TEST((steps[0].kind == StepKind::Refuse));
     BOOST_TEST((steps[0].refusal.reason == RefusalReason::Evacuated));
     BOOST_TEST(!steps[0].refusal.mayHaveRun);
-    BOOST_TEST(steps[0].refusal.comeBack.count() > 0);
+    BOOST_TEST(steps[0].refusal.retryAfter.count() > 0);
 }
 
 BOOST_AUTO_TEST_CASE(ServersThatAreTakenBackColdGetWhatTheyBearUntilTheyAreWarm)
@@ -242,7 +242,7 @@
     BOOST_TEST(sentTo("dc-1", 20, 0ms) > 5U);
     now += 1s;
     BOOST_TEST(sentTo("dc-1", 60, 2500ms) <= 4U);
-    BOOST_TEST(!balancer.takeWarmthNews().empty());
+    BOOST_TEST(!balancer.takeWarmUpChanges().empty());
     now += 3s;
     BOOST_TEST(sentTo("dc-1", 20, 0ms) > 5U);
 }
--- a/test/balance/Keys.test.cpp
+++ b/test/balance/Keys.test.cpp
@@ -25,7 +25,7 @@
         changed.routes.push_back(open);
         changed.workspaces = {{"north", {"k1", "k2"}, {}, 10, 20}, {"south", {"k3"}, {}, 0, 0}};
         put(std::move(changed));
-        balancer.proved(now);
+        balancer.setConfigurationConfirmedAt(now);
     }
 
     void put(deployment::Deployment changed)
@@ -79,7 +79,7 @@
     now += 60s;
     const auto step = decided("k4");
     BOOST_TEST((step.refusal.reason == RefusalReason::OldKeys));
-    BOOST_TEST(step.refusal.comeBack.count() > 0);
+    BOOST_TEST(step.refusal.retryAfter.count() > 0);
     BOOST_TEST((decided("k1").kind == StepKind::Forward));
 }
 
@@ -103,7 +103,7 @@
 
 BOOST_AUTO_TEST_CASE(WhatAWorkspaceSendsBeyondItsQuotaIsRefusedAndTheOthersAreNot)
 {
-    balancer.heardFleet(now);
+    balancer.recordFleetContact(now);
     std::size_t sent = 0;
     bool        refused = false;
     for (int i = 0; i < 400; ++i)
@@ -113,7 +113,7 @@
         if (step.kind == StepKind::Refuse && step.refusal.reason == RefusalReason::OverQuota)
         {
             refused = true;
-            BOOST_TEST(step.refusal.comeBack.count() > 0);
+            BOOST_TEST(step.refusal.retryAfter.count() > 0);
             BOOST_TEST(!step.refusal.mayHaveRun);
         }
         balancer.attemptEnded(ticket, 1, {balance::AttemptEnd::Answered, 200}, now);
--- a/test/balance/Suspension.test.cpp
+++ b/test/balance/Suspension.test.cpp
@@ -20,7 +20,7 @@
     OneRouteFixture(900ms, 3, 4)
     {
         balancer.configure(declared, now);
-        balancer.proved(now);
+        balancer.setConfigurationConfirmedAt(now);
         now += 20s;
     }
 
@@ -43,7 +43,7 @@
         const auto sent = admit(++ticket);
         BOOST_REQUIRE_EQUAL(count(sent, StepKind::Forward), 1U);
         now += gap;
-        balancer.due(now);
+        balancer.processDue(now);
         const auto after = steps();
         BOOST_TEST(count(after, StepKind::Forward) == 0U);
         BOOST_REQUIRE_EQUAL(count(after, StepKind::Refuse), 1U);
@@ -78,7 +78,7 @@
     };
     const std::size_t before = retries(1);
     now += 60s;
-    balancer.due(now);
+    balancer.processDue(now);
     BOOST_TEST(retries(1000) <= before + 1);
 }
 
--- a/test/balance/crashes/Quarantined.test.cpp
+++ b/test/balance/crashes/Quarantined.test.cpp
@@ -49,7 +49,7 @@
         balancer.attemptEnded(sent.ticket, sent.attempt, lost, now);
         auto all = steps();
         now += 1ms;
-        balancer.checked(*sent.instance, result, now);
+        balancer.checkEnded(*sent.instance, result, now);
         for (Step& step : steps())
             all.push_back(std::move(step));
         return all;
@@ -62,7 +62,7 @@
 
 BOOST_AUTO_TEST_CASE(OneThatCameBeforeTheFirstConfigurationIsRefusedWithIt)
 {
-    BOOST_TEST(balancer.looksUpRequests());
+    BOOST_TEST(balancer.needsRequestIdentity());
     BOOST_TEST(admit(1, requestOf("culprit")).empty());
     deployment::Quarantine quarantine;
     quarantine.content = requestOf("culprit").content;
@@ -75,7 +75,7 @@
     BOOST_REQUIRE_EQUAL(taken.size(), 1U);
     BOOST_TEST((taken[0].refusal.reason == RefusalReason::EndsServers));
     BOOST_TEST(!taken[0].refusal.mayHaveRun);
-    BOOST_TEST((taken[0].refusal.comeBack > 9min));
+    BOOST_TEST((taken[0].refusal.retryAfter > 9min));
     BOOST_TEST(find(admit(2, requestOf("other")), StepKind::Forward) != nullptr);
 }
 
@@ -94,7 +94,7 @@
         taken = endServer(*sent, culprit);
     BOOST_REQUIRE(find(taken, StepKind::Refuse) != nullptr);
     BOOST_TEST(find(taken, StepKind::Refuse)->refusal.mayHaveRun);
-    const auto concluded = balancer.takeQuarantined();
+    const auto concluded = balancer.takeNewQuarantines();
     BOOST_REQUIRE_EQUAL(concluded.size(), 1U);
     BOOST_TEST(concluded[0].servers == 3U);
     BOOST_TEST(balancer.takeCrashNews().ends.size() == 3U);
@@ -114,7 +114,7 @@
             taken = endServer(*sent, requestOf("unlucky"), CheckResult::Accepts);
         now += 1s;
     }
-    BOOST_TEST(balancer.takeQuarantined().empty());
+    BOOST_TEST(balancer.takeNewQuarantines().empty());
     BOOST_TEST(balancer.takeCrashNews().empty());
 }
 
@@ -124,9 +124,9 @@
     now += 20s;
     const auto                  culprit = requestOf("culprit");
     const deployment::CrashNews news{{{5, 71, culprit, 80ms, 1ms}}, {}};
-    balancer.heardCrashes(news, now);
+    balancer.receiveCrashNews(news, now);
     now += 1s;
-    balancer.heardCrashes({{{6, 72, culprit, 80ms, 1ms}}, {}}, now);
+    balancer.receiveCrashNews({{{6, 72, culprit, 80ms, 1ms}}, {}}, now);
     now += 1s;
     BOOST_REQUIRE(find(admit(1, culprit), StepKind::Forward) != nullptr);
     const auto second = admit(2, culprit);
--- a/test/balance/limits/Refusals.test.cpp
+++ b/test/balance/limits/Refusals.test.cpp
@@ -61,8 +61,8 @@
         ++refused;
         BOOST_TEST((step.refusal.reason == RefusalReason::AllLimited));
         BOOST_TEST(!step.refusal.mayHaveRun);
-        BOOST_TEST(step.refusal.comeBack >= 50ms);
-        BOOST_TEST(step.refusal.comeBack <= 2s);
+        BOOST_TEST(step.refusal.retryAfter >= 50ms);
+        BOOST_TEST(step.refusal.retryAfter <= 2s);
     }
     // 12 s before two servers that take one request a second each, and what was open to begin with.
     BOOST_TEST(refused >= 200U - 2 * 12U - 6U);
@@ -94,10 +94,10 @@
     std::vector<deployment::LimitNews> news;
     for (const deployment::Instance& instance : declared.instances)
         news.push_back({9, deployment::lifeHash(instance), 1, 0ms, 1, -8});
-    balancer.heardLimits(news, now);
+    balancer.receiveLimitNews(news, now);
     BOOST_TEST((arrive().refusal.reason == RefusalReason::AllLimited));
     // Of servers that this node does not know nothing is kept.
-    balancer.heardLimits(std::vector<deployment::LimitNews>{{9, 77, 1, 0ms, 1, -8}}, now);
+    balancer.receiveLimitNews(std::vector<deployment::LimitNews>{{9, 77, 1, 0ms, 1, -8}}, now);
     BOOST_TEST(balancer.limits(now).size() == 2U);
 }
 
--- a/test/balance/notices/BackOff.test.cpp
+++ b/test/balance/notices/BackOff.test.cpp
@@ -35,7 +35,7 @@
     void backsOff(std::size_t server, core::Duration length, NoticeSource source = NoticeSource::Answer)
     {
         const auto instance = std::make_shared<const deployment::Instance>(declared.instances[server]);
-        balancer.noticed(instance, {false, length}, source, now);
+        balancer.recordNotice(instance, {false, length}, source, now);
     }
 
     /// \brief What becomes of a request that arrives now
@@ -105,9 +105,9 @@
         BOOST_REQUIRE((step.kind == StepKind::Refuse));
         BOOST_TEST((step.refusal.reason == RefusalReason::AllBackOff));
         BOOST_TEST(!step.refusal.mayHaveRun);
-        BOOST_TEST(step.refusal.comeBack >= 2s);
-        BOOST_TEST(step.refusal.comeBack <= core::fromMilliseconds(1.5 * (longest * 3000 - 1000)));
-        comeBacks.insert(step.refusal.comeBack);
+        BOOST_TEST(step.refusal.retryAfter >= 2s);
+        BOOST_TEST(step.refusal.retryAfter <= core::fromMilliseconds(1.5 * (longest * 3000 - 1000)));
+        comeBacks.insert(step.refusal.retryAfter);
     }
     BOOST_TEST(comeBacks.size() > 10U);
 }
@@ -124,7 +124,7 @@
     const Step beside = arrive();
     BOOST_REQUIRE((beside.kind == StepKind::Refuse));
     BOOST_TEST((beside.refusal.reason == RefusalReason::AllBackOff));
-    BOOST_TEST(beside.refusal.comeBack <= 1s);
+    BOOST_TEST(beside.refusal.retryAfter <= 1s);
     now += 50ms;
     (void)end(first, AttemptEnd::Answered, 200);
     BOOST_TEST((arrive().kind == StepKind::Forward));
@@ -200,7 +200,7 @@
     // A young node has no retries to give, so the caller is to come back; the other server may take it then.
     const auto next = end(ticket, AttemptEnd::NotRun, 503);
     BOOST_REQUIRE((next.at(0).kind == StepKind::Refuse));
-    BOOST_TEST(next[0].refusal.comeBack <= 2s);
+    BOOST_TEST(next[0].refusal.retryAfter <= 2s);
     BOOST_TEST(served());
 }
 
@@ -221,13 +221,13 @@
 BOOST_AUTO_TEST_CASE(ServersThatLeaveAndOthersThatBackOffMakeCallersWaitForTheLatter)
 {
     const auto instance = std::make_shared<const deployment::Instance>(declared.instances[0]);
-    balancer.noticed(instance, {true, {}}, NoticeSource::Answer, now);
+    balancer.recordNotice(instance, {true, {}}, NoticeSource::Answer, now);
     now += 5s;
     backsOff(1, 3s);
     const Step step = arrive();
     BOOST_REQUIRE((step.kind == StepKind::Refuse));
     BOOST_TEST((step.refusal.reason == RefusalReason::AllBackOff));
-    BOOST_TEST(step.refusal.comeBack >= 3s);
+    BOOST_TEST(step.refusal.retryAfter >= 3s);
 }
 
 // The address of a server may go to another one before its own entry is gone; that one turns requests away.
@@ -247,7 +247,7 @@
         BOOST_TEST(other.instance->id != step.instance->id);
         (void)end(ticket, AttemptEnd::Answered, 200);
     }
-    const auto changes = balancer.takeNotices();
+    const auto changes = balancer.takeNoticeChanges();
     BOOST_REQUIRE_EQUAL(changes.size(), 1U);
     BOOST_TEST((changes[0].source == NoticeSource::Misdirected));
 }
--- a/test/balance/notices/Leaving.test.cpp
+++ b/test/balance/notices/Leaving.test.cpp
@@ -30,7 +30,7 @@
     void leaves(std::size_t server, NoticeSource source = NoticeSource::Answer)
     {
         const auto instance = std::make_shared<const deployment::Instance>(declared.instances[server]);
-        balancer.noticed(instance, {true, {}}, source, now);
+        balancer.recordNotice(instance, {true, {}}, source, now);
     }
 
     /// \brief What becomes of a request that arrives now; a server that gets it answers after 50 ms
@@ -76,7 +76,7 @@
     leaves(1, NoticeSource::HealthAnswer);
     now += 2s;
     BOOST_TEST(spread().empty());
-    BOOST_TEST(balancer.takeNotices().size() == 2U);
+    BOOST_TEST(balancer.takeNoticeChanges().size() == 2U);
     BOOST_TEST(balancer.notices(now).size() == 2U);
 }
 
@@ -123,7 +123,7 @@
     leaves(1);
     BOOST_TEST(spread()["s0"] == 20U);
     // What the earlier life had said is heard late.
-    balancer.noticed(earlier, {true, {}}, NoticeSource::Answer, now);
+    balancer.recordNotice(earlier, {true, {}}, NoticeSource::Answer, now);
     now += 2s;
     BOOST_TEST(spread()["s0"] == 20U);
 }
@@ -140,7 +140,7 @@
     BOOST_REQUIRE((step.kind == StepKind::Refuse));
     BOOST_TEST((step.refusal.reason == RefusalReason::AllLeaving));
     BOOST_TEST(!step.refusal.mayHaveRun);
-    BOOST_TEST(step.refusal.comeBack > 0ms);
+    BOOST_TEST(step.refusal.retryAfter > 0ms);
 }
 
 BOOST_AUTO_TEST_CASE(AServerThatJoinsIsUsedAtOnceWhenAllOthersLeave)
@@ -166,12 +166,12 @@
         change.gone.clear();
         change.instances = {one};
         balancer.configure(change, now);
-        balancer.noticed(std::make_shared<const deployment::Instance>(one), {true, {}}, NoticeSource::Answer, now);
+        balancer.recordNotice(std::make_shared<const deployment::Instance>(one), {true, {}}, NoticeSource::Answer, now);
         change.instances.clear();
         change.gone = {one};
         balancer.configure(change, now);
     }
-    (void)balancer.takeNotices();
+    (void)balancer.takeNoticeChanges();
     // The newest is known still, the oldest is heard anew.
     change.gone.clear();
     change.instances = {like, like};
--- a/test/gateway/AnswerHead.test.cpp
+++ b/test/gateway/AnswerHead.test.cpp
@@ -79,9 +79,10 @@
 
 BOOST_AUTO_TEST_CASE(WhatA503AsksForIsNotPassedOnToItsCaller)
 {
-    const auto comeBack = [](unsigned status) {
+    const auto comeBack = [](unsigned status)
+    {
         return judgeAnswer(headOf(status, {{"X-Id", "r"}, {"X-Not-Run", "full"}, {"Retry-After", "2"}}), dialect)
-            .comeBack;
+            .retryAfter;
     };
     BOOST_TEST((comeBack(503) == 0ms));
     BOOST_TEST((comeBack(429) == 2s));
--- a/test/support/ServiceModel.hpp
+++ b/test/support/ServiceModel.hpp
@@ -501,7 +501,7 @@
             at(m_now + core::fromMilliseconds(way),
                [this, &other, news]
                {
-                   other.balancer->heardLimits(news, m_now);
+                   other.balancer->receiveLimitNews(news, m_now);
                    take(other);
                });
         }
@@ -513,7 +513,7 @@
         std::vector<deployment::LimitNews> news;
         for (const auto& [server, word] : m_limitWords)
             news.push_back({0, server, word.perSecond, m_now - word.at, 0, word.doublings});
-        node.balancer->heardLimits(news, m_now);
+        node.balancer->receiveLimitNews(news, m_now);
     }
 
     void tellNews(Node& node)
@@ -532,7 +532,7 @@
             at(m_now + core::fromMilliseconds(way),
                [this, &other, news]
                {
-                   other.balancer->heardCrashes(news, m_now);
+                   other.balancer->receiveCrashNews(news, m_now);
                    take(other);
                });
         }
@@ -545,8 +545,8 @@
            [this, &node, &server, instance = step.instance]
            {
                const bool refuses = server.ended || server.gone;
-               node.balancer->checked(*instance,
-                                      refuses ? balance::CheckResult::Refuses : balance::CheckResult::Accepts, m_now);
+               node.balancer->checkEnded(
+                   *instance, refuses ? balance::CheckResult::Refuses : balance::CheckResult::Accepts, m_now);
                take(node);
            });
     }
@@ -576,7 +576,7 @@
         ++call.tries;
         node.calls[ticket] = call;
         balance::Arrival arrival{"a.example", target, m_now, call.patience - (m_now - call.first), {}};
-        if (m_settings.knowsRequests && node.balancer->looksUpRequests())
+        if (m_settings.knowsRequests && node.balancer->needsRequestIdentity())
             arrival.identity = call.identity;
         node.balancer->admit(ticket, arrival, m_now);
         take(node);
@@ -606,7 +606,7 @@
         if (call.tries > kind.retries || (!promised && !kind.repeatable))
             return;
         const core::Duration left = call.first + call.patience - heard;
-        const core::Duration wait = refusal != nullptr ? std::min(refusal->comeBack, left / 3) : core::Duration{};
+        const core::Duration wait = refusal != nullptr ? std::min(refusal->retryAfter, left / 3) : core::Duration{};
         if (left.count() > 0)
             at(heard + wait, [this, call] { attempt(call); });
     }
@@ -649,7 +649,7 @@
                {
                    if (node.wake == wake)
                        node.wake = core::Timestamp::max();
-                   node.balancer->due(m_now);
+                   node.balancer->processDue(m_now);
                    take(node);
                });
         }
@@ -704,7 +704,7 @@
         for (const auto& instance : m_declared.instances)
         {
             if (instance.id == server.model.id)
-                node.balancer->connections(instance, idle, idle + list.busy);
+                node.balancer->setConnectionCounts(instance, idle, idle + list.busy);
         }
     }
 
@@ -780,7 +780,7 @@
                   [this, &node, &server, ticket, number, load, leaving, instance]
                   {
                       if (leaving)
-                          node.balancer->noticed(instance, {true, {}}, balance::NoticeSource::HealthAnswer, m_now);
+                          node.balancer->recordNotice(instance, {true, {}}, balance::NoticeSource::HealthAnswer, m_now);
                       const bool refused = server.ended;
                       release(node, server, !refused);
                       balance::Outcome outcome;
@@ -791,7 +791,7 @@
                           outcome.load = load;
                           outcome.warmUp = coldFor(server);
                       }
-                      node.balancer->probed(ticket, number, outcome, m_now);
+                      node.balancer->probeEnded(ticket, number, outcome, m_now);
                       take(node);
                   });
            });
@@ -899,7 +899,7 @@
            [this, &node, &server, work, end, status, load, limit, notice, serverEnded]
            {
                if (!notice.empty())
-                   node.balancer->noticed(work->instance, notice, balance::NoticeSource::Answer, m_now);
+                   node.balancer->recordNotice(work->instance, notice, balance::NoticeSource::Answer, m_now);
                if (notice.leaving)
                    server.noticed.toldLeft.emplace(node.index, m_now);
                if (node.sent.erase({work->ticket, work->attempt}) == 0)
@@ -910,7 +910,7 @@
                outcome.end = end;
                outcome.status = status;
                outcome.connectionEnded = serverEnded;
-               if (m_settings.knowsRequests && (serverEnded || node.balancer->looksUpRequests()))
+               if (m_settings.knowsRequests && (serverEnded || node.balancer->needsRequestIdentity()))
                    outcome.identity = work->identity;
                if (answered)
                    outcome.load = load;
