--- a/include/sailpath/balance/Balancer.hpp
+++ b/include/sailpath/balance/Balancer.hpp
@@ -26,88 +26,90 @@
 namespace sailpath::balance
 {
 ////////////////////////////////////////////////////////////
-/// \brief A whole request of a caller, as far as decisions need it
+/// \brief The part of a caller's complete request that decisions depend on
 ////////////////////////////////////////////////////////////
 struct Arrival
 {
     std::string_view              host;          //!< Host header
     std::string_view              target;        //!< Path and query
-    core::Timestamp               firstByteAt{}; //!< When its first byte came
-    std::optional<core::Duration> timeLeft;      //!< Time the caller waits from then on, when it says so
+    core::Timestamp               firstByteAt{}; //!< When the first byte of the request arrived
+    std::optional<core::Duration> timeLeft;      //!< Time that the caller waits after that, if it says so
 
-    std::optional<deployment::RequestIdentity> identity{}; //!< Given while `Balancer::needsRequestIdentity`
-    std::string_view                           key{};      //!< Of the caller's workspace; empty without
+    std::optional<deployment::RequestIdentity> identity{}; //!< Set while `Balancer::needsRequestIdentity` holds
+    std::string_view                           key{};      //!< Key of the caller's workspace; empty without one
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What came of an attempt
+/// \brief Result of an attempt or a probe
 ////////////////////////////////////////////////////////////
 struct Outcome
 {
-    AttemptEnd                    end{AttemptEnd::Lost};  //!< How it ended
-    unsigned                      status{0};              //!< Of the answer
-    std::optional<Load>           load;                   //!< Load report on the answer
-    core::Duration                retryAfter{};           //!< When the server says to come back
-    bool                          misdirected{false};     //!< With `NotRun`: another instance answered
-    std::optional<double>         limit;                  //!< See `unlimited`; null when the answer does not tell
-    std::optional<core::Duration> warmUp;                 //!< How much longer the server says it is cold; 0 for not
-    bool                          connectionEnded{false}; //!< With `Lost`: the server's side ended the connection
-
-    std::optional<deployment::RequestIdentity> identity; //!< With `connectionEnded`, and while requests are looked up
+    AttemptEnd                    end{AttemptEnd::Lost};  //!< How the attempt ended
+    unsigned                      status{0};              //!< HTTP status of the answer
+    std::optional<Load>           load;                   //!< Load report in the answer
+    core::Duration                retryAfter{};           //!< Retry-After of the answer; 0 for none
+    bool                          misdirected{false};     //!< With `NotRun`: a different instance answered
+    std::optional<double>         limit;                  //!< Requests per second; `unlimited` for no limit, null when
+                                                          //!< the answer does not say
+    std::optional<core::Duration> warmUp;                 //!< How much longer the server is cold; 0 for warm
+    bool                          connectionEnded{false}; //!< With `Lost`: the server closed the connection
+
+    std::optional<deployment::RequestIdentity> identity; //!< Set with `connectionEnded`, and while
+                                                         //!< `Balancer::needsRequestIdentity` holds
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief An instance said, other than was believed, whether it is cold
+/// \brief An instance reported a cold or warm state that differs from the known one
 ////////////////////////////////////////////////////////////
 struct WarmUpChange
 {
-    std::shared_ptr<const deployment::Instance> instance;  //!< Which
-    core::Duration                              coldFor{}; //!< How much longer it is cold; 0 for not
+    std::shared_ptr<const deployment::Instance> instance;  //!< Instance concerned
+    core::Duration                              coldFor{}; //!< How much longer the instance is cold; 0 for warm
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief An instance was found to take only so much, or another measure of it, or everything again
+/// \brief The request limit of an instance appeared, changed or was lifted
 ////////////////////////////////////////////////////////////
 struct LimitChange
 {
-    std::shared_ptr<const deployment::Instance> instance; //!< Which
-    double        perSecond{unlimited};                   //!< Requests that it takes from all nodes together
-    std::uint32_t node{0};                                //!< Who told: short hash of a node; 0: it did
+    std::shared_ptr<const deployment::Instance> instance; //!< Instance concerned
+    double        perSecond{unlimited};                   //!< Requests per second accepted from all nodes together
+    std::uint32_t node{0};                                //!< Short hash of the reporting node; 0 for the instance
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What became of a look whether an instance still takes connections
+/// \brief Result of a test whether an instance still accepts connections
 ////////////////////////////////////////////////////////////
 enum class CheckResult
 {
-    Accepts, //!< A connection came up
-    Refuses, //!< Nothing listens there any more
-    Unknown  //!< No answer in time, or none that tells
+    Accepts, //!< A connection was opened
+    Refuses, //!< Nothing listens at the address any more
+    Unknown  //!< No result in time, or an ambiguous one
 };
 
 ////////////////////////////////////////////////////////////
 /// \brief One node's decisions about requests
 ///
-/// Does no input or output, starts no threads and reads no clock; belongs
-/// to one thread.
+/// Does no input or output, starts no threads and reads no clock. Must be
+/// used by one thread only.
 ////////////////////////////////////////////////////////////
 class Balancer
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Start without configuration
+    /// \brief Create a balancer without a configuration
     ///
-    /// \param now Start of this life of the node
+    /// \param now Start time of the node's process
     ////////////////////////////////////////////////////////////
     Balancer(Settings settings, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Put what is declared in force
+    /// \brief Apply the declared configuration
     ////////////////////////////////////////////////////////////
     void configure(const deployment::Declared& declared, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note when what is in force was last known to be what operators declare; null when it never was
+    /// \brief Set when the configuration in force was last confirmed to be the operators' current one; null for never
     ////////////////////////////////////////////////////////////
     void setConfigurationConfirmedAt(std::optional<core::Timestamp> at);
 
@@ -122,160 +124,171 @@
     void attemptEnded(Ticket ticket, unsigned attempt, const Outcome& outcome, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear what a probe found
+    /// \brief Process the result of a probe
     ///
-    /// \param load Null when the server did not tell
+    /// \param probe   Number of the probe within the request, from 1
+    /// \param outcome Its `load` is null when the server did not report one
     ////////////////////////////////////////////////////////////
     void probeEnded(Ticket ticket, unsigned probe, const Outcome& outcome, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear what the head of an answer says of the requests that its server wants
+    /// \brief Record a server's notice that it shuts down or wants a pause in requests
     ///
-    /// Holds whatever becomes of the request that was answered, so it is told
-    /// for each answer, before its end is.
+    /// A notice in the head of an answer is valid whatever becomes of the
+    /// answered request, so call this for each answer before its end is reported.
     ////////////////////////////////////////////////////////////
     void recordNotice(const std::shared_ptr<const deployment::Instance>& instance, const ServerNotice& notice,
                       NoticeSource source, core::Timestamp now);
 
-    [[nodiscard]] std::vector<NoticeChange> takeNoticeChanges(); //!< That changed what is believed, since the last call
-    [[nodiscard]] std::vector<NoticeInForce> notices(core::Timestamp now) const; //!< Those that hold
+    [[nodiscard]] std::vector<NoticeChange>  takeNoticeChanges(); //!< What was new in notices since the last call
+    [[nodiscard]] std::vector<NoticeInForce> notices(core::Timestamp now) const; //!< Notices in force
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note that the caller of a request has left
+    /// \brief Record that the caller of a request has disconnected
     ////////////////////////////////////////////////////////////
     void callerLeft(Ticket ticket, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear which instances other nodes saw fail requests
+    /// \brief Process reports of other nodes about instances that failed requests
     ////////////////////////////////////////////////////////////
     void receiveFailures(std::span<const deployment::ServerFailure> failures, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Instances that several nodes saw fail, suspects since the last call
+    /// \brief Return instances that became suspect since the last call, as several nodes saw them fail
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::vector<std::shared_ptr<const deployment::Instance>> takeSuspects();
 
     ////////////////////////////////////////////////////////////
-    /// \brief Instances that said, other than was believed, that they are cold or warm, since the last call
+    /// \brief Return changes of the cold or warm state of instances since the last call
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::vector<WarmUpChange> takeWarmUpChanges();
 
     ////////////////////////////////////////////////////////////
-    /// \brief Instances that were found to take less, or more, than was believed, since the last call
+    /// \brief Return changes of the request limits of instances since the last call
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::vector<LimitChange> takeLimitChanges();
 
-    [[nodiscard]] std::vector<LimitState> limits(core::Timestamp now) const; //!< Instances that are limited
+    [[nodiscard]] std::vector<LimitState> limits(core::Timestamp now) const; //!< Request limits of instances
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear what other nodes heard from limited instances and sent there
+    /// \brief Process other nodes' reports on request limits and on the requests that they sent
     ////////////////////////////////////////////////////////////
     void receiveLimitNews(std::span<const deployment::LimitNews> news, core::Timestamp now);
 
     [[nodiscard]] std::vector<deployment::LimitNews> takeLimitNews(); //!< For the other nodes, since the last call
 
-    [[nodiscard]] std::vector<QuotaState>   quotas(core::Timestamp now) const; //!< Of workspaces that have one
-    [[nodiscard]] std::optional<QuotaState> quota(std::string_view workspace, core::Timestamp now) const; //!< Of one
-    [[nodiscard]] bool                      hasQuotas() const;                      //!< Some workspace has one
-    void                                    recordFleetContact(core::Timestamp at); //!< Other nodes could be heard then
+    [[nodiscard]] std::vector<QuotaState>   quotas(core::Timestamp now) const; //!< State of all workspace quotas
+    [[nodiscard]] std::optional<QuotaState> quota(std::string_view workspace,
+                                                  core::Timestamp  now) const; //!< Null for a workspace without a quota
+    [[nodiscard]] bool                      hasQuotas() const;                //!< Whether some workspace has a quota
+    void                                    recordFleetContact(core::Timestamp at); //!< Last contact with other nodes
 
-    [[nodiscard]] std::vector<std::uint32_t> takeFailures(); //!< Short hashes of instances that failed here since
+    ////////////////////////////////////////////////////////////
+    /// \brief Return short hashes of instances that failed requests of this node since the last call
+    ////////////////////////////////////////////////////////////
+    [[nodiscard]] std::vector<std::uint32_t> takeFailures();
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear the answer to a `Check` step
+    /// \brief Process the result of a `Check` step
     ////////////////////////////////////////////////////////////
     void checkEnded(const deployment::Instance& instance, CheckResult result, core::Timestamp now);
 
-    void receiveCrashNews(const deployment::CrashNews& news, core::Timestamp now); //!< Other nodes saw servers end
+    ////////////////////////////////////////////////////////////
+    /// \brief Process other nodes' reports on servers that crashed, and on requests that were served after all
+    ////////////////////////////////////////////////////////////
+    void receiveCrashNews(const deployment::CrashNews& news, core::Timestamp now);
 
-    [[nodiscard]] bool needsRequestIdentity() const;     //!< Arrivals and outcomes are to tell the identity
-    [[nodiscard]] deployment::CrashNews takeCrashNews(); //!< For the other nodes, since the last call
-    [[nodiscard]] const CrashLedger&    crashes() const; //!< Requests that end servers
+    [[nodiscard]] bool                  needsRequestIdentity() const; //!< Whether to set it in arrivals and outcomes
+    [[nodiscard]] deployment::CrashNews takeCrashNews();              //!< For the other nodes, since the last call
+    [[nodiscard]] const CrashLedger&    crashes() const; //!< Record of requests during which servers crashed
 
-    [[nodiscard]] std::vector<deployment::Quarantine> takeNewQuarantines(); //!< New or wider since the last call
+    [[nodiscard]] std::vector<deployment::Quarantine> takeNewQuarantines(); //!< New or widened since the last call
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note the connections to an instance
+    /// \brief Set the number of this node's connections to an instance
+    ///
+    /// \param idle Connections without a request
+    /// \param open All open connections
     ////////////////////////////////////////////////////////////
     void setConnectionCounts(const deployment::Instance& instance, unsigned idle, unsigned open);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Do what has become due
+    /// \brief Process all timeouts that have expired
     ////////////////////////////////////////////////////////////
     void processDue(core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief When something becomes due next
+    /// \brief Return when the next timeout expires; null when none is set
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::optional<core::Timestamp> nextDue() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Move the steps decided since the last call
+    /// \brief Move the steps decided since the last call into `steps`, replacing its contents
     ////////////////////////////////////////////////////////////
     void takeSteps(std::vector<Step>& steps);
 
     ////////////////////////////////////////////////////////////
-    /// \brief The route in force that covers a request; null when there is none
+    /// \brief Return the route in force that matches a request; null when there is none
     ////////////////////////////////////////////////////////////
     [[nodiscard]] const deployment::HostRoute* findRoute(std::string_view host, std::string_view target) const;
 
-    [[nodiscard]] const deployment::Workspace* findWorkspace(std::string_view key) const; //!< Null for no key of any
+    [[nodiscard]] const deployment::Workspace* findWorkspace(std::string_view key) const; //!< Null for an unknown key
 
-    [[nodiscard]] bool        configured() const; //!< Requests can be decided about
-    [[nodiscard]] std::size_t unfinished() const; //!< Requests held or at servers
+    [[nodiscard]] bool        configured() const; //!< Whether a configuration is in force
+    [[nodiscard]] std::size_t unfinished() const; //!< Requests without a final answer, held ones included
 
 private:
     struct Attempt
     {
-        std::shared_ptr<ServerView> server;        //!< Where
-        core::Timestamp             sentAt{};      //!< When
-        double                      expectedMs{0}; //!< Estimated time to the answer
-        double                      unscaledMs{0}; //!< The same without the instance's own ratio
-        double                      crowding{0};   //!< Of the instance, when it was sent
-        bool                        running{true}; //!< No end was reported
+        std::shared_ptr<ServerView> server;        //!< Target server
+        core::Timestamp             sentAt{};      //!< Time of the send
+        double                      expectedMs{0}; //!< Estimated time to the answer in milliseconds
+        double                      unscaledMs{0}; //!< `expectedMs` without the instance's own latency ratio
+        double                      crowding{0};   //!< Crowding of the instance at the time of the send
+        bool                        running{true}; //!< Whether the end of the attempt is still to be reported
     };
 
     ////////////////////////////////////////////////////////////
-    /// \brief The search for a server: rounds of probes until one looks good
+    /// \brief The search for a server: rounds of probes until a good server is found
     ////////////////////////////////////////////////////////////
     struct Search
     {
-        bool                                     active{false};    //!< Under way
-        bool                                     pausing{false};   //!< Between rounds
-        core::Timestamp                          endsAt{};         //!< End of the round or the pause
-        unsigned                                 pendingProbes{0}; //!< Probes of the round without an answer
-        std::vector<ServerView*>                 asked;            //!< In the rounds so far, not yet to be asked again
-        std::vector<std::shared_ptr<ServerView>> probes;           //!< By number, from 1
-        std::size_t                              roundStart{0};    //!< First probe of the round
-        unsigned                                 furtherRounds{0}; //!< Begun though some server would do
+        bool                                     active{false};    //!< Whether the search is in progress
+        bool                                     pausing{false};   //!< Whether the search pauses between two rounds
+        core::Timestamp                          endsAt{};         //!< End of the current round or pause
+        unsigned                                 pendingProbes{0}; //!< Unanswered probes of the current round
+        std::vector<ServerView*>                 asked;         //!< Servers probed so far, not to be probed again yet
+        std::vector<std::shared_ptr<ServerView>> probes;        //!< Probed servers; probe number 1 is the first
+        std::size_t                              roundStart{0}; //!< Probes sent before the current round
+        unsigned furtherRounds{0};                              //!< Rounds started although a usable server was found
     };
 
     struct Request
     {
-        deployment::HostRoute        route;              //!< As of its arrival
-        std::shared_ptr<ServicePool> pool;               //!< Service it goes to
-        std::string                  workspace;          //!< That it is sent for; empty without
-        core::Timestamp              firstByteAt{};      //!< Its first byte
-        core::Timestamp              firstTriedAt{};     //!< When its caller is believed to have tried first
-        core::Timestamp              deadline{};         //!< Final answer
-        core::Timestamp              callerDeadline{};   //!< When its caller stops waiting
-        core::Timestamp              wakeAt{};           //!< When it is to be looked at next
-        std::vector<Attempt>         attempts;           //!< In order; the first is number 1
+        deployment::HostRoute        route;              //!< Route as of the arrival
+        std::shared_ptr<ServicePool> pool;               //!< Service that the request is sent to
+        std::string                  workspace;          //!< Workspace of the caller's key; empty without one
+        core::Timestamp              firstByteAt{};      //!< When the first byte of the request arrived
+        core::Timestamp              firstTriedAt{};     //!< Estimated time of the caller's first try
+        core::Timestamp              deadline{};         //!< Deadline of the final answer
+        core::Timestamp              callerDeadline{};   //!< When the caller stops waiting
+        core::Timestamp              wakeAt{};           //!< Next timeout of the request
+        std::vector<Attempt>         attempts;           //!< Attempts in order of their numbers, from 1
         std::vector<ServerView*>     triedServers;       //!< Servers of the attempts
-        Search                       search;             //!< For a server
+        Search                       search;             //!< Current or last search for a server
         unsigned                     sends{0};           //!< Attempts that may have reached a server
-        bool                         mayHaveRun{false};  //!< Some attempt's outcome is not known
-        unsigned                     fallbackAttempt{0}; //!< Attempt whose answer is passed on if nothing better comes
-        core::Timestamp              noHedgeUntil{};     //!< No further send before
-        bool                         callerGone{false};  //!< Its caller left
-        core::Duration               retryAfter{};       //!< Latest word of a server on when to come back
-        std::uint32_t                draw{0};            //!< Of the search, for chances that are taken once
-        unsigned                     rank{0};            //!< Kinds of request of the service that are more urgent
-
-        std::optional<deployment::RequestIdentity> identity; //!< As far as it was told
+        bool                         mayHaveRun{false};  //!< Whether the outcome of some attempt is unknown
+        unsigned                     fallbackAttempt{0}; //!< Attempt whose failed answer is returned if none succeeds
+        core::Timestamp              noHedgeUntil{};     //!< No hedge is sent before this time
+        bool                         callerGone{false};  //!< Whether the caller has disconnected
+        core::Duration               retryAfter{};       //!< Longest Retry-After of the servers' answers
+        std::uint32_t                draw{0};            //!< Random number of the search, for choices made once
+        unsigned                     rank{0};            //!< More urgent ranks that recently used the service
+
+        std::optional<deployment::RequestIdentity> identity; //!< Identity, if it is known
     };
 
-    /// \brief A request whose connection ended, while it is not known whether its server did
+    /// \brief A request whose connection closed, while it is unknown whether the server crashed
     struct LostRequest
     {
         deployment::RequestIdentity identity;
@@ -283,11 +296,13 @@
         core::Timestamp             lostAt;
     };
 
-    [[nodiscard]] bool applyAll(const deployment::Declared& declared, core::Timestamp now);     //!< A service is new
-    [[nodiscard]] bool applyChanges(const deployment::Declared& declared, core::Timestamp now); //!< A service is new
+    /// \brief Replace the instances of all services; return whether a service is new
+    [[nodiscard]] bool                  applyAll(const deployment::Declared& declared, core::Timestamp now);
+    /// \brief Apply the changed and removed instances only; return whether a service is new
+    [[nodiscard]] bool                  applyChanges(const deployment::Declared& declared, core::Timestamp now);
     const std::shared_ptr<ServicePool>& poolOf(const std::string& service, bool& added);
     void                                seedWorkEstimates();
-    /// \brief A request that came before the first configuration
+    /// \brief A request that arrived before the first configuration
     struct HeldRequest
     {
         Ticket                        ticket{0};
@@ -296,19 +311,21 @@
         std::string                   key;
         core::Timestamp               firstByteAt{};
         std::optional<core::Duration> timeLeft;
-        core::Timestamp               until{}; //!< It is refused then
+        core::Timestamp               until{}; //!< When the request is refused
 
         std::optional<deployment::RequestIdentity> identity;
     };
 
     void               hold(Ticket ticket, const Arrival& arrival, core::Timestamp now);
     void               admitHeld(core::Timestamp now);
+    /// \brief Refuse a request without a valid key or beyond its quota; return whether it is refused
     [[nodiscard]] bool refusedByKey(Ticket ticket, const Arrival& arrival, const deployment::HostRoute& route,
                                     core::Timestamp now);
+    /// \brief Choose the service of a route's split for the next request
     [[nodiscard]] std::shared_ptr<ServicePool> choosePool(const deployment::HostRoute& route);
-    /// \brief Decide whether a request is refused for load, and note in its service's pressure what was decided
+    /// \brief Return whether a request is refused for load, and record the decision in the pressure of its service
     [[nodiscard]] bool        refusesForLoad(const Request& request, const Choice& choice, core::Timestamp now) const;
-    /// \brief Whether a request would be sent to a server, if that was all there is
+    /// \brief Return whether a request may be sent to a server, judged by this server's load alone
     [[nodiscard]] bool        isAdmissible(const Request& request, const Choice& choice, core::Timestamp now) const;
     [[nodiscard]] static bool exceedsDeadline(const Request& request, const Choice& choice, core::Timestamp now);
     [[nodiscard]] static bool mayBeInTime(const Request& request, core::Timestamp now);
@@ -327,16 +344,22 @@
     [[nodiscard]] bool        meetsTarget(const Request& request, double finishMs, core::Timestamp now) const;
     void                      forward(Ticket ticket, Request& request, const Choice& choice, core::Timestamp now);
     void               learnOutcome(Request& request, Attempt& attempt, const Outcome& outcome, core::Timestamp now);
+    /// \brief Remember a request whose connection closed and check whether its server crashed
     void               checkAfterLoss(const Request& request, const Attempt& attempt, core::Timestamp now);
     void               recordServed(const deployment::RequestIdentity& identity, core::Timestamp now);
+    /// \brief Refuse a request that is quarantined or has a trial in flight; return whether it is refused
     [[nodiscard]] bool refuseIfQuarantined(Ticket ticket, const Request& request, core::Timestamp now);
-    [[nodiscard]] bool identicalRequestInFlight(const Request& request) const; //!< And servers ended under it
-    [[nodiscard]] bool mayEndAnotherServer(const Request& request, core::Timestamp now) const; //!< If sent once more
+    /// \brief Return whether a request with the same content is in flight after crashes during such requests
+    [[nodiscard]] bool identicalRequestInFlight(const Request& request) const;
+    /// \brief Return whether too many servers crashed during a request for it to be sent again
+    [[nodiscard]] bool mayEndAnotherServer(const Request& request, core::Timestamp now) const;
     void               recordFailure(ServicePool& pool, const ServerView& server, core::Timestamp now);
     void recordFailureReport(ServicePool& pool, const deployment::ServerFailure& failure, core::Timestamp now);
     void learnLimit(ServicePool& pool, ServerView& server, double perSecond, core::Timestamp now);
+    /// \brief Add the limit of a server and `sent` requests to the news for the other nodes
     void addLimitNews(const ServerView& server, double sent, core::Timestamp now);
     void learnLoad(ServicePool& pool, ServerView& server, const Outcome& outcome, core::Timestamp now);
+    /// \brief Give the final answer when no attempt succeeded and none may follow
     void conclude(Ticket ticket, Request& request, core::Timestamp now);
     void refuse(Ticket ticket, const Refusal& refusal);
     [[nodiscard]] bool           mayDeny(core::Timestamp now) const;
@@ -346,37 +369,37 @@
     void                         scheduleWake(Ticket ticket, Request& request, core::Timestamp now);
     void                         close(Ticket ticket);
     [[nodiscard]] Wish           wishOf(const Request& request) const;
-    [[nodiscard]] double         retryExtra() const;
+    [[nodiscard]] double         retryExtra() const; //!< This node's part of the retries beyond `retryRatio`
     [[nodiscard]] core::Duration retryAfterForTurn(double openness);
     [[nodiscard]] core::Duration retryAfterBackOff(core::Duration backOff);
     [[nodiscard]] core::Duration retryAfterShortage(Shortage shortage, const ServicePool& pool, core::Timestamp now);
     [[nodiscard]] core::Duration retryAfterWork(const ServicePool& pool, double expectedMs);
 
     Settings                                      m_settings;    //!< Constants
-    core::Timestamp                               m_startedAt;   //!< Start of this life
-    core::Random                                  m_random;      //!< For choices
-    std::optional<core::Timestamp>                m_confirmedAt; //!< The configuration was the operators' then
-    std::shared_ptr<const deployment::Deployment> m_deployment;  //!< In force
-    deployment::RouteTable                        m_routes;      //!< In force
-    deployment::KeyTable                          m_keys;        //!< In force
-    WorkspaceQuotas                               m_quotas;      //!< In force
-    std::unordered_map<std::string, std::shared_ptr<ServicePool>> m_pools;        //!< By service
-    std::unordered_map<std::string, std::vector<double>>          m_splitCredits; //!< By route: what each part is owed
-    std::uint32_t                                                 m_searchCount{0}; //!< For servers, so far
-    unsigned                                                      m_nodes{1};       //!< That share budgets
-    std::unordered_map<Ticket, Request>                           m_requests;       //!< Unfinished
-    std::set<std::pair<core::Timestamp, Ticket>>                  m_wakeTimes;      //!< What is due when
-    std::deque<HeldRequest>                                       m_heldRequests;   //!< In the order that they came
-    std::vector<std::uint32_t>                               m_failedInstances; //!< Instances that failed, not taken
-    std::vector<std::shared_ptr<const deployment::Instance>> m_suspects;        //!< New ones, not taken
-    std::vector<WarmUpChange>                                m_warmUpChanges;   //!< Not taken
-    std::vector<NoticeChange>                                m_noticeChanges;   //!< Not taken
-    std::vector<LimitChange>                                 m_limitChanges;    //!< Not taken
-    std::vector<deployment::LimitNews>                       m_limitNews;       //!< Not taken, one for each instance
-    std::vector<Step>                                        m_steps;           //!< Decided, not taken
-    CrashLedger                                              m_crashes;         //!< Requests that end servers
-    std::map<std::string, std::vector<LostRequest>>          m_pendingChecks;   //!< Under way, by instance
-    deployment::CrashNews                                    m_crashNews;       //!< Not taken
+    core::Timestamp                               m_startedAt;   //!< Start time of the node's process
+    core::Random                                  m_random;      //!< Source of the random choices
+    std::optional<core::Timestamp>                m_confirmedAt; //!< Last confirmation of the configuration
+    std::shared_ptr<const deployment::Deployment> m_deployment;  //!< Configuration in force; null before the first
+    deployment::RouteTable                        m_routes;      //!< Routes in force
+    deployment::KeyTable                          m_keys;        //!< Workspace keys in force
+    WorkspaceQuotas                               m_quotas;      //!< Quotas in force
+    std::unordered_map<std::string, std::shared_ptr<ServicePool>> m_pools;      //!< By service
+    std::unordered_map<std::string, std::vector<double>>     m_splitCredits;    //!< Credit of each split part, by route
+    std::uint32_t                                            m_searchCount{0};  //!< Searches started so far
+    unsigned                                                 m_nodes{1};        //!< Nodes that share the budgets
+    std::unordered_map<Ticket, Request>                      m_requests;        //!< Unfinished requests
+    std::set<std::pair<core::Timestamp, Ticket>>             m_wakeTimes;       //!< Timeouts in order of expiry
+    std::deque<HeldRequest>                                  m_heldRequests;    //!< In order of arrival
+    std::vector<std::uint32_t>                               m_failedInstances; //!< For `takeFailures`
+    std::vector<std::shared_ptr<const deployment::Instance>> m_suspects;        //!< For `takeSuspects`
+    std::vector<WarmUpChange>                                m_warmUpChanges;   //!< For `takeWarmUpChanges`
+    std::vector<NoticeChange>                                m_noticeChanges;   //!< For `takeNoticeChanges`
+    std::vector<LimitChange>                                 m_limitChanges;    //!< For `takeLimitChanges`
+    std::vector<deployment::LimitNews>                       m_limitNews; //!< For `takeLimitNews`, one per instance
+    std::vector<Step>                                        m_steps;     //!< For `takeSteps`
+    CrashLedger                                              m_crashes;   //!< Requests during which servers crashed
+    std::map<std::string, std::vector<LostRequest>> m_pendingChecks; //!< Lost requests awaiting a check, by instance
+    deployment::CrashNews                           m_crashNews;     //!< For `takeCrashNews`
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/Step.hpp
+++ b/include/sailpath/balance/Step.hpp
@@ -11,7 +11,7 @@
 namespace sailpath::balance
 {
 ////////////////////////////////////////////////////////////
-/// \brief The node's number for a request; never used twice
+/// \brief Identifies a request on one node; never reused
 ////////////////////////////////////////////////////////////
 using Ticket = std::uint64_t;
 
@@ -20,56 +20,56 @@
 ////////////////////////////////////////////////////////////
 enum class RefusalReason
 {
-    NotConfigured, //!< This node has no configuration yet
-    NoRoute,       //!< No route covers the request
-    OldRoutes,     //!< No route covers it as of the last that was heard, which is too long ago to deny it
-    UnknownKey,    //!< It carries no key of any workspace
-    OldKeys,       //!< It carries none as of the last that was heard, which is too long ago to deny it
-    OverQuota,     //!< Its workspace has sent what it may
-    NoServer,      //!< No server may be given anything now
-    Evacuated,     //!< All servers are in data centres that operators had evacuated
-    AllCold,       //!< All servers are cold, and other nodes send what these bear
-    AllLimited,    //!< All servers take only so much, and others send it
-    AllLeaving,    //!< All servers have said that they shut down
-    AllBackOff,    //!< All servers asked for no requests for a while
-    Overloaded,    //!< It would be answered too late
-    EndsServers,   //!< It is quarantined: servers ended one after the other that ran it
-    MayEndServers, //!< Servers ended that ran it, and it is being tried once more just now
-    CameBackLate,  //!< It cannot be in time any more, and others that still can are turned away
-    NotRun,        //!< The servers that it was offered to did not run it
-    Unknown,       //!< It was sent and no whole answer came
-    TimedOut       //!< The time for the final answer is up
+    NotConfigured, //!< The node has no configuration yet
+    NoRoute,       //!< No route matches the request
+    OldRoutes,     //!< No route matches, but the configuration is too old to deny the request
+    UnknownKey,    //!< The request has no key of a workspace
+    OldKeys,       //!< The request has no known key, but the configuration is too old to deny the request
+    OverQuota,     //!< The workspace has used up its quota
+    NoServer,      //!< No server can take a request now
+    Evacuated,     //!< All servers are in data centres that operators evacuated
+    AllCold,       //!< All servers are cold, and other nodes already send as many requests as these can take
+    AllLimited,    //!< All servers have a request limit, and other nodes already use it up
+    AllLeaving,    //!< All servers announced their shutdown
+    AllBackOff,    //!< All servers asked for a pause in requests
+    Overloaded,    //!< The answer would come too late
+    EndsServers,   //!< The request is quarantined: several servers in a row crashed while running it
+    MayEndServers, //!< Servers crashed while running the same request, and a single trial of it is in flight
+    CameBackLate,  //!< A retrying caller's request can no longer be in time, and room goes to requests that can
+    NotRun,        //!< Each server that was tried did not run the request
+    Unknown,       //!< The request was sent and no complete answer arrived
+    TimedOut       //!< The deadline for the final answer has passed
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief The name of a reason in logs and metrics
+/// \brief Return the name of a reason in logs and metrics
 ////////////////////////////////////////////////////////////
 [[nodiscard]] std::string_view toString(RefusalReason reason);
 
 ////////////////////////////////////////////////////////////
-/// \brief A final refusal
+/// \brief A final refusal of a request
 ////////////////////////////////////////////////////////////
 struct Refusal
 {
-    RefusalReason  reason{RefusalReason::NoServer}; //!< Why
-    bool           mayHaveRun{false};               //!< Whether some server may have run it
-    core::Duration retryAfter{};                    //!< When to come back; 0 says nothing
-    double         expectedMs{0};                   //!< Best estimate of its time at the servers, for the log
-    double         reportAgeMs{-1};                 //!< Age of the load report behind the estimate; negative without
-    core::Duration triedFor{};                      //!< How long its caller is believed to have tried before
+    RefusalReason  reason{RefusalReason::NoServer}; //!< Why the request is refused
+    bool           mayHaveRun{false};               //!< Whether a server may have run the request
+    core::Duration retryAfter{};                    //!< Delay after which the caller may retry; 0 for none
+    double         expectedMs{0};   //!< Best estimate of the time to an answer in milliseconds, for the log
+    double         reportAgeMs{-1}; //!< Age in milliseconds of the load report used; negative without one
+    core::Duration triedFor{};      //!< Estimated time that the caller had been retrying before this request
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What is to be done with a request next
+/// \brief What is to be done next about a request
 ////////////////////////////////////////////////////////////
 enum class StepKind
 {
-    Forward, //!< Send it to `instance` as attempt `attempt`
-    Probe,   //!< Ask `instance` for its load at `path`, as probe `attempt`
-    Answer,  //!< Pass on the answer of attempt `attempt`; the ticket is done
-    Refuse,  //!< Answer with `refusal`; the ticket is done
-    Abandon, //!< Break off attempt `attempt`; its end need not be reported
-    Check    //!< Find out whether `instance` still takes connections; answer with `Balancer::checkEnded`
+    Forward, //!< Send the request to `instance` as attempt `attempt`
+    Probe,   //!< Request the load of `instance` at `path`, as probe `attempt`
+    Answer,  //!< Return the answer of attempt `attempt` to the caller; the ticket is finished
+    Refuse,  //!< Answer the caller with `refusal`; the ticket is finished
+    Abandon, //!< Cancel attempt `attempt`; its end need not be reported
+    Check    //!< Test whether `instance` still accepts connections; report with `Balancer::checkEnded`
 };
 
 ////////////////////////////////////////////////////////////
@@ -78,19 +78,19 @@
 struct Step
 {
     StepKind                                    kind{StepKind::Refuse}; //!< What to do
-    Ticket                                      ticket{0};              //!< Which request
-    unsigned                                    attempt{0};             //!< Which attempt or probe, from 1
-    std::string                                 path;                   //!< For `Probe`
-    std::shared_ptr<const deployment::Instance> instance;               //!< For `Forward`
-    core::Timestamp                             deadline{};        //!< For `Forward`: when the server has to be done
-    bool                                        repeatable{false}; //!< Whether it may run more than once
-    std::string                                 workspace;         //!< For `Forward`: that it is sent for
-    core::Duration                              triedFor{};        //!< For `Forward`: how long its caller tried before
-    double                                      expectedMs{0};     //!< For `Forward`: estimated time to the answer
-    double                                      reportAgeMs{-1};   //!< For `Forward`: age of the load report behind it
-    core::Duration                              leavingFor{};      //!< For `Forward`: since `instance` said it leaves
-    core::Duration                              backOffLeft{};     //!< For `Forward`: time that it asked to be spared
-    Refusal                                     refusal;           //!< For `Refuse`
+    Ticket                                      ticket{0};              //!< Request concerned; 0 for `Check`
+    unsigned                                    attempt{0};             //!< Number of the attempt or probe, from 1
+    std::string                                 path;                   //!< For `Probe`: path of the load report
+    std::shared_ptr<const deployment::Instance> instance;   //!< For `Forward`, `Probe` and `Check`: target server
+    core::Timestamp                             deadline{}; //!< For `Forward`: when the server must have answered
+    bool           repeatable{false}; //!< For `Forward` and `Abandon`: whether the request may run more than once
+    std::string    workspace;         //!< For `Forward`: workspace of the request; empty without one
+    core::Duration triedFor{};        //!< For `Forward`: estimated time that the caller had been retrying before
+    double         expectedMs{0};     //!< For `Forward`: estimated time to the answer in milliseconds
+    double         reportAgeMs{-1};   //!< For `Forward`: age of the load report used; negative without one
+    core::Duration leavingFor{};      //!< For `Forward`: time since `instance` announced its shutdown
+    core::Duration backOffLeft{};     //!< For `Forward`: remaining time of the pause that `instance` asked for
+    Refusal        refusal;           //!< For `Refuse`
 };
 
 ////////////////////////////////////////////////////////////
@@ -98,10 +98,10 @@
 ////////////////////////////////////////////////////////////
 enum class AttemptEnd
 {
-    Answered, //!< A whole answer of the server
-    NotRun,   //!< The server says that it did not run it
-    NotSent,  //!< No connection came up
-    Lost      //!< It was sent, and no answer that belongs to it came whole
+    Answered, //!< A complete answer arrived from the server
+    NotRun,   //!< The server reported that it did not run the request
+    NotSent,  //!< No connection could be opened
+    Lost      //!< The request was sent, and no complete answer to it arrived
 };
 
 } // namespace sailpath::balance
