--- a/src/sailpath/balance/Balancer.cpp
+++ b/src/sailpath/balance/Balancer.cpp
@@ -10,11 +10,11 @@
 {
 constexpr auto     minRetryAfter = std::chrono::milliseconds{50};
 constexpr auto     maxRetryAfter = std::chrono::seconds{2};
-constexpr auto     misdirectedBackOff = std::chrono::seconds{2}; // Its entry is gone soon, or was wrong for a moment
-constexpr double   retryAfterSpread = 0.5;   // Part of a back-off that callers' returns are spread over
-constexpr unsigned maxUnsentAttempts = 4;    // Connections that may fail to come up before a request is refused
-constexpr double   retryExtraShare = 0.6;    // Of the extra; the rest covers nodes not known of
-constexpr double   workShareOfTarget = 0.35; // Usual work as a part of its target latency, until answers tell
+constexpr auto     misdirectedBackOff = std::chrono::seconds{2}; // A wrong entry is removed or corrected soon
+constexpr double   retryAfterSpread = 0.5;                       // Share of a back-off over which retries are spread
+constexpr unsigned maxUnsentAttempts = 4;                        // Failed connections before a request is refused
+constexpr double   retryExtraShare = 0.6;    // Used part of `retryExtra`; the rest is left for unknown nodes
+constexpr double   workShareOfTarget = 0.35; // Service time over target latency, assumed until answers arrive
 constexpr unsigned statusServerFailed = 500;
 
 } // namespace
@@ -284,10 +284,10 @@
 ////////////////////////////////////////////////////////////
 void Balancer::recordFailure(ServicePool& pool, const ServerView& server, core::Timestamp now)
 {
-    constexpr std::size_t most = 256; // Not taken; more only if nobody takes them
+    constexpr std::size_t maxPending = 256; // Reached only when `takeFailures` is not called
     const std::uint32_t   hash = deployment::lifeHash(*server.instance());
     recordFailureReport(pool, {0, hash}, now);
-    if (m_failedInstances.size() < most)
+    if (m_failedInstances.size() < maxPending)
         m_failedInstances.push_back(hash);
 }
 
@@ -343,7 +343,7 @@
     if (!maySendAgain(request, now) || mayEndAnotherServer(request, now) ||
         now + core::fromMilliseconds(choice.finishMs / 2) > request.deadline)
         return false;
-    // What never reached a server costs no budget.
+    // A retry of a request that reached no server costs no retry budget.
     if (request.sends > 0 && !request.pool->retries().take(retryExtra(), now))
         return false;
     forward(ticket, request, choice, now);
@@ -444,7 +444,7 @@
     const bool sent = std::any_of(request.attempts.begin(), request.attempts.end(),
                                   [](const Attempt& attempt) { return attempt.running; });
     if (!request.route.repeatable && sent)
-        return; // What may have begun to run is left to end; its answer goes nowhere.
+        return; // A request that may be running must not be cancelled; its answer is discarded.
     abandonRunning(ticket, request, now);
     close(ticket);
 }
@@ -496,7 +496,7 @@
 ////////////////////////////////////////////////////////////
 core::Duration Balancer::retryAfterForTurn(double openness)
 {
-    // The fewer of the requests get a turn, the longer callers stay away: all who come sooner take each other's chance.
+    // The fewer requests are admitted, the longer the delay: callers that retry sooner compete for the same room.
     const double each = core::toMilliseconds(minRetryAfter) / std::max(openness, 0.001);
     return std::clamp<core::Duration>(core::fromMilliseconds(each * (0.5 + m_random.unit())), minRetryAfter,
                                       maxRetryAfter);
@@ -505,7 +505,7 @@
 ////////////////////////////////////////////////////////////
 core::Duration Balancer::retryAfterBackOff(core::Duration backOff)
 {
-    // Not all in the same instant: the servers begin with one request of each node.
+    // Retries are spread over time, as after a back-off a server gets one request of each node at first.
     const double length = core::toMilliseconds(std::max<core::Duration>(backOff, minRetryAfter));
     return core::fromMilliseconds(length * (1 + retryAfterSpread * m_random.unit()));
 }
@@ -517,7 +517,7 @@
     if (pool == m_pools.end())
         return;
     const auto server = pool->second->find(instance.id);
-    // Connections to an earlier life are of no use to this one.
+    // Connections to the process before the instance's last restart do not count.
     if (!server || !deployment::sameLife(*server->instance(), instance))
         return;
     server->setIdleConnections(idle);
--- a/src/sailpath/balance/BalancerAdmission.cpp
+++ b/src/sailpath/balance/BalancerAdmission.cpp
@@ -1,4 +1,4 @@
-// Whether a request is let in: its route and service, its room, its chance to be in time.
+// Admission of requests: route, service, workspace key, load and deadline.
 
 #include <sailpath/balance/Balancer.hpp>
 
@@ -9,13 +9,13 @@
 namespace
 {
 constexpr auto   never = core::Timestamp::max();
-constexpr double lateFactor = 1.05; // Targets that a request may be expected to take and still be let in
-constexpr double rankStep = 0.1;    // Of its time that a request gives up for each rank, so that ranks part
-constexpr double ownDelayWorks = 2; // Usual works an urgent request may take here before others are in its way
-constexpr auto   routeActiveFor = std::chrono::seconds{5}; // After its last request a route counts as under way
+constexpr double lateFactor = 1.05; // Multiple of the target latency up to which a request is admitted
+constexpr double rankStep = 0.1;    // Share of the time that a request gives up per rank, to separate the ranks
+constexpr double ownDelayWorks = 2; // Service times that an urgent request may take before others delay it
+constexpr auto   routeActiveFor = std::chrono::seconds{5}; // Time after its last request in which a route is active
 
 ////////////////////////////////////////////////////////////
-/// \brief Milliseconds that a request may be expected to take and still be let in; later ranks give way sooner
+/// \brief Return the longest expected time in milliseconds with which a request is admitted; shorter for later ranks
 ////////////////////////////////////////////////////////////
 double maxAdmittedMs(double targetMs, unsigned rank)
 {
@@ -27,7 +27,7 @@
 ////////////////////////////////////////////////////////////
 bool Balancer::mayDeny(core::Timestamp now) const
 {
-    // A caller does not come back after a denial, so an old configuration gives none.
+    // Callers do not retry after a denial, so an outdated configuration must not deny a request.
     if (m_settings.maxConfigurationAgeToDeny == core::Duration::max())
         return true;
     return m_confirmedAt && now - *m_confirmedAt <= m_settings.maxConfigurationAgeToDeny;
@@ -60,10 +60,10 @@
     request.deadline =
         std::min(arrival.firstByteAt + route->timeout - m_settings.answerTripReserve, request.callerDeadline);
     request.identity = arrival.identity;
-    // A request that ends its servers comes again and again, and each server takes the other requests there along.
+    // A request that crashes servers is retried again and again, and each crash loses the server's other requests.
     if (refuseIfQuarantined(ticket, request, now))
         return;
-    // A caller whose time is up has gone, and a server that works for him is kept from others.
+    // The caller has stopped waiting, and serving the request would only take a server's time from others.
     if (request.deadline <= now)
         return refuse(ticket, {RefusalReason::TimedOut, false, m_settings.defaultRetryAfter});
     request.pool->retries().requested(now);
@@ -80,7 +80,7 @@
     {
         if (!m_keys.needed() || route.anonymous)
             return false;
-        // The key may have been given out since.
+        // The key may have been issued since the last confirmation of the configuration.
         if (mayDeny(now))
             refuse(ticket, {RefusalReason::UnknownKey, false, {}});
         else
@@ -108,7 +108,8 @@
         pool.letIn(rank, now);
         return false;
     }
-    // What is not known yet is learned by few; a guess keeps the others from flooding full servers.
+    // A few requests of a route with unknown service time are sent as a trial; the estimate keeps the others from
+    // overloading full servers.
     if (pool.work().tryOut(request.route.name, now))
         return false;
     pool.turnedAway(rank, now);
@@ -153,7 +154,7 @@
             return false;
         const double between = 1 + rankStep * (request.route.priority - route.rank);
         const double limit = maxAdmittedMs(core::toMilliseconds(route.target), route.rank) / between;
-        // What takes most of its target by its own work is not helped by others giving way.
+        // A route whose service time takes most of its target gains nothing when others give way.
         return passed + pool.finishMs(server, name, now) > std::max(ownDelayWorks * pool.work().ms(name), limit);
     };
     return std::any_of(pool.routes().begin(), pool.routes().end(),
@@ -169,7 +170,7 @@
     double total = 0;
     for (const deployment::SplitPart& part : route.parts)
         total += part.weight;
-    // Smooth weighted turns: each part earns its share, the one owed most goes and pays for it.
+    // Smooth weighted round robin: each part earns its share, and the part with the most credit is chosen and pays 1.
     std::size_t best = 0;
     for (std::size_t i = 0; i < route.parts.size(); ++i)
     {
@@ -177,8 +178,8 @@
         if (credit[i] > credit[best])
             best = i;
     }
-    // The first turn is drawn, so that many nodes with few requests keep the shares together.
-    if (credit.size() > 1 && std::all_of(credit.begin(), credit.end(), [](double owed) { return owed >= 0; }))
+    // The first choice is random, so that many nodes with few requests each keep the shares in total.
+    if (credit.size() > 1 && std::all_of(credit.begin(), credit.end(), [](double value) { return value >= 0; }))
     {
         double at = m_random.unit() * total;
         for (best = 0; best + 1 < credit.size() && at >= route.parts[best].weight; ++best)
--- a/src/sailpath/balance/BalancerCrashes.cpp
+++ b/src/sailpath/balance/BalancerCrashes.cpp
@@ -1,4 +1,4 @@
-// Requests under which servers end: what is noted of them, whom it keeps from servers.
+// Requests during which servers crash: detection, news for other nodes and quarantine.
 
 #include <sailpath/balance/Balancer.hpp>
 
@@ -9,11 +9,10 @@
 {
 namespace
 {
-constexpr std::size_t maxPendingChecks =
-    64; // Instances at once, and requests lost at one; what is more is not looked into
-constexpr std::size_t maxPendingNews = 256; // Not taken; more only if nobody takes them
-constexpr std::size_t singleSendFrom = 2;   // Servers ended under a request: it goes out once at a time, and once a try
-constexpr std::size_t noHedgeFrom = 1;      // The same: no second send while the first runs
+constexpr std::size_t maxPendingChecks = 64; // Of instances at once, and lost requests per instance; others are ignored
+constexpr std::size_t maxPendingNews = 256;  // Reached only when `takeCrashNews` is not called
+constexpr std::size_t singleSendFrom = 2;    // Crashes from which a request is sent once at a time and without retries
+constexpr std::size_t noHedgeFrom = 1;       // Crashes from which a request is not hedged
 
 } // namespace
 
@@ -27,7 +26,7 @@
     if (lost.size() < maxPendingChecks)
         lost.push_back({*request.identity, attempt.sentAt, now});
     if (lost.size() > 1)
-        return; // A look is under way.
+        return; // A check of the instance is already in progress.
     Step step;
     step.kind = StepKind::Check;
     step.instance = instance;
@@ -42,7 +41,7 @@
         return;
     const std::vector<LostRequest> lost = std::move(found->second);
     m_pendingChecks.erase(found);
-    // Connections end for many reasons; a server that has ended refuses new ones.
+    // Connections close for many reasons, but only a crashed server refuses new ones.
     if (result != CheckResult::Refuses)
         return;
     for (const LostRequest& one : lost)
@@ -118,7 +117,7 @@
 ////////////////////////////////////////////////////////////
 bool Balancer::needsRequestIdentity() const
 {
-    // What comes before the first configuration is decided about with it, and with what stands in the store then.
+    // Requests held for the first configuration are checked against the quarantines that arrive with it.
     return !m_crashes.empty() || !configured();
 }
 
--- a/src/sailpath/balance/BalancerLimits.cpp
+++ b/src/sailpath/balance/BalancerLimits.cpp
@@ -1,4 +1,4 @@
-// What holds for all nodes together, of limited instances and of workspaces: what is learned and told.
+// Limits shared by all nodes: request limits of instances and quotas of workspaces.
 
 #include <sailpath/balance/Balancer.hpp>
 
@@ -9,8 +9,9 @@
 {
 namespace
 {
-constexpr double      minReportedRequests = 0.1; // Requests that were sent before a limit was known
-constexpr std::size_t maxPendingNews = 256;      // Instances not taken; more only if nobody takes them
+constexpr double minReportedRequests =
+    0.1; // Least number of earlier requests worth reporting when a limit becomes known
+constexpr std::size_t maxPendingNews = 256; // Reached only when `takeLimitNews` is not called
 
 } // namespace
 
@@ -57,7 +58,7 @@
             if (server->toldLimit(one.perSecond, now - one.ago, one.doublings, now))
                 m_limitChanges.push_back({server->instance(), one.perSecond, one.node});
             pool->limited();
-            // How open it is to the node that told has in it what that node sent.
+            // The first report already includes the reporting node's requests in its openness.
             if (!first)
                 server->sentElsewhere(one.sent, one.doublings, now);
             else if (server->limit(now) != nullptr && server->recent(now) > minReportedRequests)
--- a/src/sailpath/balance/BalancerNotices.cpp
+++ b/src/sailpath/balance/BalancerNotices.cpp
@@ -1,4 +1,4 @@
-// What servers say of the requests that they want.
+// Notices of servers that shut down or want a pause in requests.
 
 #include <sailpath/balance/Balancer.hpp>
 
@@ -8,7 +8,7 @@
 {
 namespace
 {
-constexpr std::size_t maxPendingNews = 256; // Not taken; more only if nobody takes them
+constexpr std::size_t maxPendingNews = 256; // Reached only when `takeNoticeChanges` is not called
 
 } // namespace
 
--- a/src/sailpath/balance/BalancerSearch.cpp
+++ b/src/sailpath/balance/BalancerSearch.cpp
@@ -1,4 +1,4 @@
-// How the balancer looks for a server: rounds of probes until one looks good.
+// The search for a server: rounds of probes until a good server is found.
 
 #include <sailpath/balance/Balancer.hpp>
 
@@ -10,12 +10,12 @@
 {
 namespace
 {
-constexpr double goodFactor =
-    1.2; // Usual works that a server may take and be chosen at once: one that begins at once, at its usual pace
-constexpr double   searchRoom = 1.2;     // Usual works that have to be left to look on
-constexpr unsigned maxFurtherRounds = 6; // Of probes, while what was found will do but is not good
-constexpr double   minGoodShare = 0.06;  // Of servers asked of late; below it most further rounds find nothing and only
-                                         // take slots
+constexpr double   goodFactor = 1.2;     // Service times within which a good server answers: it is idle and not slow
+constexpr double   searchRoom = 1.2;     // Service times that must be left before the target for a further round
+constexpr unsigned maxFurtherRounds = 6; // Probe rounds after a usable, but not good, server was found
+// Share of good servers among recent probes below which further rounds are skipped: most would find nothing and only
+// occupy slots of servers.
+constexpr double   minGoodShare = 0.06;
 
 ////////////////////////////////////////////////////////////
 RefusalReason reasonOf(Shortage shortage)
@@ -46,7 +46,7 @@
     request.search = Search{};
     request.draw = static_cast<std::uint32_t>(core::mix(static_cast<std::uint32_t>(m_settings.seed), ++m_searchCount));
     request.rank = request.pool->anyLimited(now) ? request.pool->moreUrgent(request.route.priority, now) : 0;
-    // What comes back late gets no room, and none is looked for, while others could still be in time.
+    // Under load, a retrying caller's request that can no longer be in time yields to requests that can.
     const bool gated = m_settings.admissionControl && request.attempts.empty();
     if (gated && request.pool->pressed(request.route.priority, now) && !mayBeInTime(request, now))
     {
@@ -137,11 +137,11 @@
         meetsTarget(request, searchRoom * typical + core::toMilliseconds(m_settings.probeRoundPause), now);
     if (!choice.server || !hasTime)
         return finishSearch(ticket, request, choice, now);
-    // What looks better than those that were asked may only be less known.
+    // A server without a fresh report may look better than the probed ones only because less is known of it.
     if (!isFresh(choice, now) && request.search.asked.size() < request.pool->size())
         return beginRound(ticket, request, now);
-    // A server that the request would be turned away from ends no search: the next that is asked may have room. In a
-    // shortage there is nothing to be found, and probes take what little room there is.
+    // A server that would refuse the request for load does not end the search, as the next probed one may have room.
+    // During a shortage further probes find nothing and occupy what little room is left.
     const bool shortage = request.pool->highlyPressed(request.route.priority, now);
     const bool takes = shortage || !request.attempts.empty() || isAdmissible(request, choice, now);
     if (takes && meetsTarget(request, choice.finishMs, now))
@@ -164,8 +164,8 @@
 ////////////////////////////////////////////////////////////
 bool Balancer::worthFurtherRound(const Request& request)
 {
-    // Where a third of the servers is slow and the others work on something, the first that will do is late for one
-    // request in ten, a good one for one in a hundred; a round takes 1 to 3 ms when servers have room.
+    // When a third of the servers is slow and the others are busy, the first usable server answers one request in ten
+    // late, a good server one in a hundred. A round takes 1 to 3 ms when servers have room.
     const ServicePool& pool = *request.pool;
     const bool         othersLeft = request.search.asked.size() < pool.size();
     return request.search.furtherRounds < maxFurtherRounds && othersLeft && pool.goodShare() > minGoodShare;
--- a/src/sailpath/balance/BalancerTiming.cpp
+++ b/src/sailpath/balance/BalancerTiming.cpp
@@ -1,4 +1,4 @@
-// When requests are looked at again: waits, second sends, time-outs.
+// Timers of requests: the wait for the first configuration, probe rounds, hedges and deadlines.
 
 #include <sailpath/balance/Balancer.hpp>
 
@@ -9,8 +9,8 @@
 {
 namespace
 {
-constexpr double hedgeRoom = 1.2;          // Further time over the estimate that a second send is given
-constexpr double minHedgeDelayWorks = 1.3; // Expected times that the first send is given
+constexpr double hedgeRoom = 1.2;          // Service times reserved for a hedge before the target
+constexpr double minHedgeDelayWorks = 1.3; // Service times that the first attempt gets before a hedge
 constexpr auto   never = core::Timestamp::max();
 
 } // namespace
@@ -55,7 +55,7 @@
         const auto patience = last.sentAt + core::fromMilliseconds(minHedgeDelayWorks * typical);
         const auto stuck =
             last.sentAt + core::fromMilliseconds(m_settings.stuckFactor * std::max(typical, last.expectedMs));
-        // Later than that a second send cannot meet the target; then it is only for what is stuck.
+        // After `latestUseful` a hedge cannot meet the target and is sent only when the first attempt is stuck.
         core::Timestamp at = patience <= latestUseful ? latestUseful : stuck;
         if (at <= now)
             at = std::max(stuck, now + core::fromMilliseconds(typical));
@@ -70,7 +70,7 @@
 {
     if (!maySendAgain(request, now) || mayEndAnotherServer(request, now))
     {
-        // Looked at again only when it is stuck; the deadline ends it in any case.
+        // The next hedge is considered when the attempt counts as stuck; the deadline applies in any case.
         request.noHedgeUntil =
             now + core::fromMilliseconds(m_settings.stuckFactor * request.pool->work().ms(request.route.name));
         return scheduleWake(ticket, request, now);
