--- a/include/sailpath/balance/Balancer.hpp
+++ b/include/sailpath/balance/Balancer.hpp
@@ -198,7 +198,7 @@
     ////////////////////////////////////////////////////////////
     void receiveCrashNews(const deployment::CrashNews& news, core::Timestamp now);
 
-    [[nodiscard]] bool                  needsRequestIdentity() const; //!< Whether to set it in arrivals and outcomes
+    [[nodiscard]] bool                  needsRequestIdentity() const; //!< Whether arrivals and outcomes need `identity`
     [[nodiscard]] deployment::CrashNews takeCrashNews();              //!< For the other nodes, since the last call
     [[nodiscard]] const CrashLedger&    crashes() const; //!< Record of requests during which servers crashed
 
--- a/src/sailpath/balance/BalancerLimits.cpp
+++ b/src/sailpath/balance/BalancerLimits.cpp
@@ -9,9 +9,8 @@
 {
 namespace
 {
-constexpr double minReportedRequests =
-    0.1; // Least number of earlier requests worth reporting when a limit becomes known
-constexpr std::size_t maxPendingNews = 256; // Reached only when `takeLimitNews` is not called
+constexpr double      minReportedRequests = 0.1; // Earlier requests worth reporting with a newly known limit
+constexpr std::size_t maxPendingNews = 256;      // Reached only when `takeLimitNews` is not called
 
 } // namespace
 
--- a/test/balance/Shortage.test.cpp
+++ b/test/balance/Shortage.test.cpp
@@ -16,8 +16,8 @@
 constexpr unsigned nodes = 60;
 constexpr unsigned servers = 12;
 constexpr unsigned slots = 6;
-// The goal is 0.9, and runs reach at least 0.83. Without refusing late retries in favour of requests that can still be in
-// time, runs reach only 0.33 to 0.7.
+// The goal is 0.9, and runs reach at least 0.83. Without refusing late retries in favour of requests that can still be
+// in time, runs reach only 0.33 to 0.7.
 constexpr double   minPeakShare = 0.8;
 
 ////////////////////////////////////////////////////////////
