--- a/include/sailpath/replication/MemberList.hpp
+++ b/include/sailpath/replication/MemberList.hpp
@@ -10,24 +10,25 @@
 namespace sailpath::replication
 {
 ////////////////////////////////////////////////////////////
-/// \brief All nodes heard of lately, kept longer than nodes are followed or counted
+/// \brief Nodes heard from recently, remembered longer than for ranking and counting
 ///
-/// What nodes share by rank among all members stays apart only while they
-/// know nearly the same members. A node that is cut off from the others
-/// forgets them for every other purpose after some seconds; here it does not.
+/// Work that nodes divide by their rank among all members is divided without
+/// overlap only while the nodes know nearly the same members. A node that is
+/// cut off from the others drops them after some seconds for other purposes;
+/// this list keeps them.
 ////////////////////////////////////////////////////////////
 class MemberList
 {
 public:
-    void heard(std::string_view address, core::Timestamp now); //!< Of a node, by anybody
+    void recordHeard(std::string_view address, core::Timestamp now); //!< Record that a node was heard from, by any node
 
     ////////////////////////////////////////////////////////////
-    /// \brief Short hashes of the addresses, in order
+    /// \brief Drop expired nodes and list the short hashes of the remaining addresses, sorted
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::vector<std::uint32_t> hashes(core::Timestamp now);
 
 private:
-    std::unordered_map<std::uint32_t, core::Timestamp> m_heard; //!< When last, by short hash
+    std::unordered_map<std::uint32_t, core::Timestamp> m_lastHeard; //!< When a node was last heard from, by short hash
 };
 
 } // namespace sailpath::replication
--- a/include/sailpath/replication/Replica.hpp
+++ b/include/sailpath/replication/Replica.hpp
@@ -24,46 +24,52 @@
 namespace sailpath::replication
 {
 ////////////////////////////////////////////////////////////
-/// \brief Constants of a node's copy of the store
+/// \brief Settings of a node's replica of the store
 ////////////////////////////////////////////////////////////
 struct ReplicaSettings
 {
-    NodeAddress              self;                                         //!< This node
-    std::vector<std::string> seeds;                                        //!< `IP:PORT` of nodes to begin with
-    core::Duration           watchWait{std::chrono::milliseconds{1000}};   //!< Longest wait of one watch call
-    core::Duration           staleAfter{std::chrono::milliseconds{1400}};  //!< Age at which the store is asked itself
-    core::Duration           beat{std::chrono::milliseconds{350}};         //!< Between updates without news
-    core::Duration           linkSilence{std::chrono::milliseconds{1100}}; //!< Without an update, a relay is given up
-    core::Duration           avoidance{std::chrono::seconds{3}};           //!< A relay that failed is left alone
-    core::Duration           bootWait{std::chrono::milliseconds{600}};     //!< Of a start: only seeds count as relays
-    core::Duration           connectPatience{std::chrono::milliseconds{700}}; //!< For a link to come up
-    core::Duration           firstBackoff{std::chrono::milliseconds{250}};    //!< After one failed call of the store
-    core::Duration           nodeLife{std::chrono::seconds{20}};              //!< A node not heard of is forgotten
-    core::Duration           countLife{std::chrono::seconds{25}};             //!< A node counts for shared budgets
-    unsigned                 watchers{2};                                     //!< Relays that watch the store for all
-    unsigned                 nodesPerRelay{75};                               //!< One more relay for each so many nodes
-    unsigned                 largeFleet{30};         //!< From so many nodes on, data centres have relays of their own
-    unsigned                 relaysPerDataCentre{2}; //!< Of a large fleet
-    unsigned                 upstreams{2};           //!< Relays that a node follows
-    core::Duration           watchPause{std::chrono::milliseconds{80}}; //!< After news, so that more comes at once
-    core::Duration           proofWait{
-        std::chrono::milliseconds{40}};         //!< From the start, for relays to prove a first, old reading
-    core::Duration gather{std::chrono::milliseconds{25}}; //!< Changes this close together are told at once
-    std::uint64_t  seed{1};                               //!< Of the random choices
+    NodeAddress              self;                                          //!< This node
+    std::vector<std::string> seeds;                                         //!< `IP:PORT` of the nodes contacted first
+    core::Duration           watchTimeout{std::chrono::milliseconds{1000}}; //!< Longest wait of one watch call
+    core::Duration           staleAfter{
+        std::chrono::milliseconds{1400}}; //!< Age of the copy at which this node calls the store itself
+    core::Duration heartbeatInterval{
+        std::chrono::milliseconds{350}}; //!< Between two updates to a follower when nothing has changed
+    core::Duration linkTimeout{
+        std::chrono::milliseconds{1100}}; //!< Time without an update after which a relay's link is closed
+    core::Duration relayBackoff{std::chrono::seconds{3}}; //!< Time for which a relay that failed is not used
+    core::Duration startupPeriod{std::chrono::milliseconds{
+        600}}; //!< From the start; until then only seeds and nodes that seeds named rank as relays
+    core::Duration connectTimeout{std::chrono::milliseconds{700}};      //!< For a link to a relay to open
+    core::Duration initialStoreBackoff{std::chrono::milliseconds{250}}; //!< After one failed call of the store
+    core::Duration nodeTtl{std::chrono::seconds{20}}; //!< Since a node was last heard from, to rank and list it
+    core::Duration countTtl{
+        std::chrono::seconds{25}};         //!< Since a node was last heard from, to count it for shared budgets
+    unsigned       watcherCount{2};        //!< Relays that watch the store for the whole fleet
+    unsigned       nodesPerRelay{75};      //!< One more relay is chosen for each so many nodes
+    unsigned       largeFleetSize{30};     //!< Number of nodes from which each data centre has its own relays
+    unsigned       relaysPerDataCentre{2}; //!< In a large fleet
+    unsigned       upstreamCount{2};       //!< Relays that a node follows
+    core::Duration watchPause{
+        std::chrono::milliseconds{80}}; //!< Between changes and the next watch, so that it returns several changes
+    core::Duration proofWait{
+        std::chrono::milliseconds{40}}; //!< From the start; time for relays to prove a first copy that may be old
+    core::Duration batchDelay{std::chrono::milliseconds{25}}; //!< Shortest time between two updates to a follower
+    std::uint64_t  randomSeed{1};                             //!< Of backoff jitter and the first copy's random delays
 };
 
-using LinkId = std::uint64_t; //!< Number of a link, given by the replica when it opens one, by the program otherwise
+using LinkId = std::uint64_t; //!< Odd for links that the replica opens; the program numbers those it accepts
 
 struct ReadStore //!< Read all items; answer with `storeRead` or `storeFailed`
 {
-    Reading how{Reading::Latest}; //!< What will do
+    Reading freshness{Reading::Latest}; //!< How old the items may be
 };
-struct WatchStore //!< Ask for changes; answer with `storeChanged`, `historyLost` or `storeFailed`
+struct WatchStore //!< Wait for changes; answer with `storeChanged`, `historyLost` or `storeFailed`
 {
-    std::uint64_t  after{0}; //!< Revision that is known
+    std::uint64_t  after{0}; //!< Revision after which changes are wanted
     core::Duration wait{};   //!< Longest wait for a change
 };
-struct GiveUpStore //!< The call under way is not to be answered any more
+struct CancelStoreCall //!< Abandon the pending call without an answer
 {
 };
 struct OpenLink //!< Connect; answer with `linkOpened` or `linkClosed`
@@ -90,25 +96,31 @@
     LinkId link{0};
     Report report;
 };
-struct Note //!< A change of what the node believes, for the log
+struct LogEvent //!< Log a change of the replica's state
 {
     std::string           event;
     std::string           subject;
-    std::optional<double> value{0}; //!< Null: an age of what never was
+    std::optional<double> value{0}; //!< Null for an age when the copy was never proved current
 };
 
-using ReplicaAction =
-    std::variant<ReadStore, WatchStore, GiveUpStore, OpenLink, CloseLink, SendHello, SendUpdate, SendReport, Note>;
+using ReplicaAction = std::variant<ReadStore, WatchStore, CancelStoreCall, OpenLink, CloseLink, SendHello, SendUpdate,
+                                   SendReport, LogEvent>;
 
 ////////////////////////////////////////////////////////////
-/// \brief One node's copy of the store, kept by few calls for the whole fleet
+/// \brief One node's replica of the store, kept up to date with few store calls for the whole fleet
 ///
-/// The nodes that rank first among those known watch the store and push
-/// what changes to the others; in a large fleet relays in each data centre
-/// hear from them and push to the nodes beside them. Each update says how old
-/// its picture is. A node whose picture grows old asks another relay, then
-/// the store itself.
-/// Does no input or output, starts no threads and reads no clock.
+/// All nodes rank the nodes they know in the same order. The highest ranked
+/// are relays, and the first of the relays are watchers: they watch the store
+/// and push changes to the others. In a large fleet the relays of each data
+/// centre follow the watchers and push to the nodes of their data centre.
+/// Each update states the age of the sender's copy. A node whose copy grows
+/// stale follows another relay, then calls the store itself.
+///
+/// A copy is proved current as of a time when the store, directly or through
+/// relays, shows that the copy was the store's content at that time.
+///
+/// The class does no input or output, starts no threads and reads no clock:
+/// callers carry out the actions it returns and pass in events and the time.
 ////////////////////////////////////////////////////////////
 class Replica
 {
@@ -118,11 +130,14 @@
     void tick(core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear the answer to `ReadStore`
+    /// \brief Handle the answer to `ReadStore`
     ///
-    /// \param asOf The items are a snapshot, the store's since then at the latest; null when they may be old or
-    ///             of several moments
-    /// \param upTo Unless they are a snapshot: revision that none of them is newer than, if known
+    /// \param items Items that were read
+    /// \param at    Revision that the items are complete as of
+    /// \param asOf  Time as of which the items are a snapshot of the store; null when they may be old or were read
+    ///              at several moments
+    /// \param now   Current time
+    /// \param upTo  When the items are no snapshot: revision that none of them is newer than, if known
     ////////////////////////////////////////////////////////////
     void storeRead(std::span<const Item> items, std::uint64_t at, std::optional<core::Timestamp> asOf,
                    core::Timestamp now, std::uint64_t upTo = std::numeric_limits<std::uint64_t>::max());
@@ -130,185 +145,191 @@
     void historyLost(core::Timestamp now);
     void storeFailed(core::Timestamp now);
 
-    void linkOpened(LinkId link, core::Timestamp now);                           //!< An `OpenLink` succeeded
-    void linkAlive(LinkId link, core::Timestamp now);                            //!< A part of an update came
-    void linkClosed(LinkId link, core::Timestamp now);                           //!< A link ended or did not come up
-    void helloReceived(LinkId link, const Hello& hello, core::Timestamp now);    //!< A node wants updates
-    void updateReceived(LinkId link, const Update& update, core::Timestamp now); //!< A relay sent one
-    void reportReceived(LinkId link, const Report& report, core::Timestamp now); //!< A relay told of its followers
-    void serverFailed(std::uint32_t server, core::Timestamp now); //!< This node saw an instance fail; hash of its id
+    void linkOpened(LinkId link, core::Timestamp now);       //!< Handle the success of an `OpenLink`
+    void linkDataReceived(LinkId link, core::Timestamp now); //!< Handle the arrival of a part of an update
+    void linkClosed(LinkId link, core::Timestamp now);       //!< Handle a link that ended or could not be opened
+    void helloReceived(LinkId link, const Hello& hello, core::Timestamp now);    //!< Add the sender as a follower
+    void updateReceived(LinkId link, const Update& update, core::Timestamp now); //!< Handle an update of a relay
+    void reportReceived(LinkId link, const Report& report, core::Timestamp now); //!< Handle a report of a follower
+    void serverFailed(std::uint32_t   server,
+                      core::Timestamp now); //!< Report an instance, by the hash of its id, that this node saw fail
 
-    void serverEnded(const EndRecord& record, core::Timestamp at, core::Timestamp now); //!< This node saw it end
-    void requestServed(const core::ContentHash& content, core::Timestamp now); //!< It had been at such a server
+    void serverEnded(const EndRecord& record, core::Timestamp at,
+                     core::Timestamp now); //!< Report an instance that this node saw end at a time
+    void requestServed(const core::ContentHash& content,
+                       core::Timestamp now); //!< Report a request that was answered after it had run on an ended server
     void serverLimited(const LimitRecord& record, core::Timestamp at,
-                       core::Timestamp now); //!< Heard or sent by this node
+                       core::Timestamp now); //!< Report a server's limit as of a time, and the requests sent under it
 
-    [[nodiscard]] std::vector<ReplicaAction> takeActions();   //!< What is to be done
-    [[nodiscard]] std::vector<Item>          takeChanges();   //!< Items that changed here since the last call
-    [[nodiscard]] std::vector<ServerReport>  takeNews();      //!< What other nodes saw of servers
-    [[nodiscard]] core::Timestamp            nextDue() const; //!< When `tick` is to be called next
+    [[nodiscard]] std::vector<ReplicaAction> takeActions();       //!< Actions to carry out, since the last call
+    [[nodiscard]] std::vector<Item>          takeChanges();       //!< Items that changed here since the last call
+    [[nodiscard]] std::vector<ServerReport>  takeServerReports(); //!< Reports of other nodes since the last call
+    [[nodiscard]] core::Timestamp            nextDue() const;     //!< When `tick` is to be called next
 
     [[nodiscard]] const ItemTable& table() const;                  //!< The copy
-    [[nodiscard]] core::Duration   age(core::Timestamp now) const; //!< Time since it was known to be the store's
-    [[nodiscard]] std::optional<core::Timestamp> provedAt() const; //!< When it was last known to be the store's
-    [[nodiscard]] std::optional<core::Timestamp> heardAt() const;  //!< A relay or the store was heard then
-    [[nodiscard]] bool                           known() const;    //!< There is a copy
-    [[nodiscard]] bool     usable(core::Timestamp now) const;      //!< It was proved, or nobody can prove it
-    [[nodiscard]] bool     storeIll(core::Timestamp now,
-                                    core::Duration  within) const; //!< The store failed somebody of late
-    [[nodiscard]] unsigned nodes(core::Timestamp now) const;      //!< Nodes known of, this one included
-    [[nodiscard]] bool     watching() const;                      //!< This node calls the store
+    [[nodiscard]] core::Duration   age(core::Timestamp now) const; //!< Time since the copy was last proved current
+    [[nodiscard]] std::optional<core::Timestamp> provedAt() const; //!< Time as of which the copy was proved current
+    [[nodiscard]] std::optional<core::Timestamp>
+                       lastContactAt() const; //!< Last answer of the store, or sending time of a relay's last update
+    [[nodiscard]] bool hasCopy() const;       //!< Whether any copy of the store was received
+    [[nodiscard]] bool usable(
+        core::Timestamp now) const; //!< Whether the copy was proved current, or exists and the startup period is over
+    [[nodiscard]] bool storeFailedWithin(
+        core::Timestamp now,
+        core::Duration  within) const; //!< Whether a store call of this node or of a relay failed so recently
+    [[nodiscard]] unsigned nodeCount(core::Timestamp now) const; //!< Nodes known, this one included
+    [[nodiscard]] bool     storeCallPending() const;             //!< Whether a call of the store is in progress
 
     ////////////////////////////////////////////////////////////
-    /// \brief Short hashes of the addresses of all nodes heard of in the last minute, this one included, in order
+    /// \brief Short hashes of the addresses of all nodes heard from in the last minute, this one included, sorted
     ///
-    /// \return Empty while none of the seeds was heard of: then there may be others
+    /// \return Empty while this node knows no other node although it has other seeds: more members may exist
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] std::vector<std::uint32_t> members(core::Timestamp now);
+    [[nodiscard]] std::vector<std::uint32_t> memberHashes(core::Timestamp now);
 
-    [[nodiscard]] std::size_t followers() const; //!< Nodes that get updates from this one
+    [[nodiscard]] std::size_t followerCount() const; //!< Nodes that receive updates from this one
 
 private:
     struct Follower
     {
-        NodeAddress     node;              //!< Who it is
-        std::uint64_t   sentAt{0};         //!< Revision sent
-        std::uint64_t   sentSequence{0};   //!< Changes of the copy sent
-        bool            wantsAll{true};    //!< Needs the whole picture
-        bool            packs{false};      //!< Understands `Update::whole`
-        core::Timestamp since{};           //!< Came then
-        std::uint64_t   namesTold{0};      //!< Hash of the relays that were named to it
-        core::Timestamp nextBeat{};        //!< Next update without news
-        core::Timestamp fedAt{};           //!< Last update
-        core::Timestamp fedAsOf{};         //!< What it told was the store's then
-        core::Timestamp nextNodes{};       //!< Next telling of the nodes
-        core::Timestamp newNodesAt{};      //!< Not before, when there are many new ones
-        std::uint64_t   newsTold{0};       //!< Reports of servers it was told or had no need of
-        bool            limitsTold{false}; //!< It was told which servers are limited
-        std::size_t     nodesTold{0};      //!< Nodes at the last telling
+        NodeAddress     node;                 //!< The follower's address
+        std::uint64_t   sentRevision{0};      //!< Revision of the copy sent last
+        std::uint64_t   sentSequence{0};      //!< Value of `ItemTable::sequence` at the last update with items
+        bool            needsFullCopy{true};  //!< The next update has to hold all items
+        bool            supportsWhole{false}; //!< Understands `Update::whole`
+        core::Timestamp connectedAt{};        //!< When its hello was received
+        std::uint64_t   sentNamesHash{0};     //!< Hash of the relay names sent last; 0 when none were sent
+        core::Timestamp nextUpdateAt{};       //!< When the next update is sent, with or without changes
+        core::Timestamp lastSentAt{};         //!< When the last update was sent
+        core::Timestamp sentProvedAt{};       //!< Value of `m_provedAt` in the last update
+        core::Timestamp nextNodeList{};       //!< When the list of nodes is sent next
+        core::Timestamp newNodesNotBefore{};  //!< Earliest time to send the list because of many new nodes
+        std::uint64_t   sentReports{0};       //!< Count of server reports up to which it needs none
+        bool            limitsSent{false};    //!< The limits in force were sent
+        std::size_t     sentNodeCount{0};     //!< Nodes known when the list was sent last
     };
 
     struct Upstream
     {
-        std::string                   address;     //!< Of the relay
-        bool                          open{false}; //!< The link is up
-        core::Timestamp               since{};     //!< Start
-        core::Timestamp               heard{};     //!< Last update
-        bool                          fed{false};  //!< Has sent an update
-        core::Timestamp               helloAt{};   //!< When it was greeted
-        core::Duration                roundTrip{}; //!< From then to its first update
-        std::uint64_t                 newsTold{0}; //!< Reports of servers it was told
-        std::optional<core::Duration> firstOffset; //!< Of the clocks, the first update's way included
+        std::string                   address;               //!< Address of the relay
+        bool                          open{false};           //!< The link is open
+        core::Timestamp               startedAt{};           //!< When the link was requested
+        core::Timestamp               lastReceivedAt{};      //!< When data was received last, or the link opened
+        bool                          receivedUpdate{false}; //!< The relay has sent an update with items
+        core::Timestamp               helloSentAt{};         //!< When the hello was sent
+        core::Duration                roundTrip{};           //!< From the hello to the first update
+        std::uint64_t                 sentReports{0};        //!< Count of server reports up to which it needs none
+        std::optional<core::Duration> firstClockOffset; //!< Difference of the clocks plus transit time, first update
     };
 
-    struct Known
+    struct KnownNode
     {
-        std::string     dataCentre;   //!< Where it runs
-        std::uint32_t   capacity{0};  //!< How well it can serve others
-        core::Timestamp heard{};      //!< At first hand, by anybody
-        core::Timestamp avoidUntil{}; //!< Not to be used as a relay
-        unsigned        failures{0};  //!< In a row
+        std::string     dataCentre;    //!< Where the node runs
+        std::uint32_t   capacity{0};   //!< How well it can serve others
+        core::Timestamp lastHeardAt{}; //!< When any node last heard from it directly
+        core::Timestamp avoidUntil{};  //!< Not ranked as a relay before this time
+        unsigned        failures{0};   //!< Consecutive failures as a relay
     };
 
-    /// \brief A node that pushes what changes to others
+    /// \brief A node that pushes changes to others
     struct Relay
     {
-        std::string address;        //!< Where it listens
+        std::string address;        //!< `IP:PORT` where it listens
         std::string dataCentre;     //!< Where it runs
         bool        watcher{false}; //!< It watches the store
     };
 
-    void                  hear(const NodeAddress& node, core::Timestamp now);
-    void                  avoid(const std::string& address, core::Timestamp now, std::string_view why);
+    void                  recordNode(const NodeAddress& node, core::Timestamp now);
+    void                  avoidRelay(const std::string& address, core::Timestamp now, std::string_view event);
     void                  manageUpstreams(core::Timestamp now);
     void                  manageStore(core::Timestamp now);
-    void                  takeUpdate(const std::string& relay, const Update& update, std::span<const Item> items);
-    static core::Duration wayOf(const Update& update, Upstream& upstream, core::Timestamp now);
-    void                  report(core::Timestamp now);
-    void                  reportNews(core::Timestamp now);
-    void                  packLarge(Update& update, std::uint64_t sentAt);
+    void                  applyUpdate(const std::string& relay, const Update& update, std::span<const Item> items);
+    static core::Duration transitTime(const Update& update, Upstream& upstream, core::Timestamp now);
+    void                  reportFollowers(core::Timestamp now);
+    void                  sendServerReports(core::Timestamp now);
+    void                  packLargeItems(Update& update, std::uint64_t sentRevision);
     void                  dropUpstream(LinkId link);
-    [[nodiscard]] core::Duration patienceWith(const Upstream& upstream) const;
-    void                         firstCopyTaken();
-    void                         introduce(core::Timestamp now);
-    void                         nameRelays(Update& update, Follower& follower, core::Timestamp now) const;
-    bool                         refers(const Follower& follower, core::Timestamp now);
-    [[nodiscard]] std::uint64_t  namesHash(const Follower& follower) const;
+    [[nodiscard]] core::Duration upstreamTimeout(const Upstream& upstream) const;
+    void                         firstCopyReceived();
+    void                         updateIntroductions(core::Timestamp now);
+    void                         addRelayNames(Update& update, Follower& follower, core::Timestamp now) const;
+    bool                         refersToRelays(const Follower& follower, core::Timestamp now);
+    [[nodiscard]] std::uint64_t  relayNamesHash(const Follower& follower) const;
     [[nodiscard]] std::shared_ptr<const std::vector<Item>> wholeCopy();
-    void       tellLimits(Update& update, Follower& follower, core::Timestamp now);
-    void       tellItems(Update& update, Follower& follower);
-    void       tellNodes(Update& update, Follower& follower, core::Timestamp now) const;
-    PackedItem packed(const Item& item, const Item& base);
-    [[nodiscard]] std::optional<std::vector<Item>> unpackLarge(const Update& update) const;
-    void                                           feedFollowers(core::Timestamp now);
-    void                                   feed(LinkId link, Follower& follower, bool tells, core::Timestamp now);
-    void                                   startWatch(core::Timestamp now);
-    void                                   readEarly(core::Timestamp now);
-    void                                   giveUpEarlyReading(core::Timestamp now);
-    void                                   noteFresh(core::Timestamp asOf, core::Timestamp now);
-    void                                   noteLacking(core::Timestamp now);
-    void                                   rank(core::Timestamp now);
-    [[nodiscard]] std::vector<Relay>       rankRelays(core::Timestamp now) const;
+    void       addLimits(Update& update, Follower& follower, core::Timestamp now);
+    void       addItems(Update& update, Follower& follower);
+    void       addNodes(Update& update, Follower& follower, core::Timestamp now) const;
+    PackedItem packedItem(const Item& item, const Item& base);
+    [[nodiscard]] std::optional<std::vector<Item>> unpackLargeItems(const Update& update) const;
+    void                                           updateFollowers(core::Timestamp now);
+    void                             sendUpdate(LinkId link, Follower& follower, bool sendItems, core::Timestamp now);
+    void                             startWatch(core::Timestamp now);
+    void                             startEarlyRead(core::Timestamp now);
+    void                             cancelOverdueEarlyRead(core::Timestamp now);
+    void                             recordProof(core::Timestamp asOf, core::Timestamp now);
+    void                             recordRelayWithoutCopy(core::Timestamp now);
+    void                             updateRanking(core::Timestamp now);
+    [[nodiscard]] std::vector<Relay> rankRelays(core::Timestamp now) const;
     [[nodiscard]] std::vector<std::string> chooseUpstreams(const std::vector<Relay>& relays) const;
     [[nodiscard]] bool                     isSeed(const std::string& address) const;
-    [[nodiscard]] std::size_t              relaysWanted(std::size_t dataCentres, core::Timestamp now) const;
+    [[nodiscard]] std::size_t              desiredRelayCount(std::size_t dataCentres, core::Timestamp now) const;
     [[nodiscard]] bool                     proved() const;
-    [[nodiscard]] bool                     mayTell() const;
-    [[nodiscard]] bool                     hearsRelays() const;
-    [[nodiscard]] bool                     heardRelay() const;
-    [[nodiscard]] bool                     fedSteadily(core::Timestamp now) const;
+    [[nodiscard]] bool                     canServeFollowers() const;
+    [[nodiscard]] bool                     receivesUpdates() const;
+    [[nodiscard]] bool                     hadFreshRelay() const;
+    [[nodiscard]] bool                     hasFreshRelay(core::Timestamp now) const;
     [[nodiscard]] std::vector<NodeAddress> nodeList(core::Timestamp now) const;
     [[nodiscard]] core::Timestamp          staleAt() const;
-    [[nodiscard]] core::Timestamp          newsDue() const; //!< When news are to be told to a relay
-    [[nodiscard]] bool                     shouldWatch(core::Timestamp now) const;
+    [[nodiscard]] core::Timestamp          serverReportsDue() const; //!< When reports are to be sent to a relay
+    [[nodiscard]] bool                     shouldCallStore(core::Timestamp now) const;
 
     enum class StoreState
     {
-        Idle,    //!< No call under way
-        Reading, //!< `ReadStore` is under way
-        Watching //!< `WatchStore` is under way
+        Idle,    //!< No call is pending
+        Reading, //!< A `ReadStore` is pending
+        Watching //!< A `WatchStore` is pending
     };
 
-    ReplicaSettings                          m_settings;                //!< Constants
-    core::Random                             m_random;                  //!< For jitter
-    core::Timestamp                          m_born;                    //!< Start
-    FirstCopy                                m_first;                   //!< How a copy is come by
-    ItemTable                                m_table;                   //!< The copy
-    std::shared_ptr<const std::vector<Item>> m_whole;                   //!< All items, for followers that start
-    std::uint64_t                            m_wholeSequence{0};        //!< Changes of the copy when they were listed
-    ServerNews                               m_news;                    //!< On their way through this node
-    core::Timestamp                          m_nextNews{};              //!< Next telling of them to a relay
-    core::Timestamp                          m_newsSoon{};              //!< And of those that wait only a moment
-    Introductions                            m_introductions;           //!< Whom a seed names
-    std::uint64_t                            m_nodeChanges{0};          //!< Nodes heard of for the first time
-    bool                                     m_rankSoon{false};         //!< Nodes are new since the last ranking
-    std::set<std::string>                    m_wholeFrom;               //!< Relays that are to begin with all items
-    std::deque<PackedItem>                   m_packed;                  //!< Large values packed of late
-    std::vector<Item>                        m_changes;                 //!< Not taken yet
-    std::vector<ReplicaAction>               m_actions;                 //!< Not taken yet
-    std::map<std::string, Known>             m_known;                   //!< Other nodes by address
-    MemberList                               m_members;                 //!< This node and others, for longer
-    std::map<LinkId, Follower>               m_followers;               //!< Links that want updates
-    std::map<LinkId, Upstream>               m_upstreams;               //!< Links to relays
-    LinkId                                   m_nextLink{1};             //!< Odd numbers are this side's
-    StoreState                               m_store{StoreState::Idle}; //!< Call under way
-    bool                                     m_needRead{true};          //!< The history is not usable
-    std::optional<core::Timestamp>           m_earlyUntil;              //!< An early reading is given up then
-    core::Timestamp                          m_watchedAt{};             //!< When the store was asked for changes
-    core::Duration                           m_watchedFor{};            //!< How long it was to wait for them
-    core::Timestamp                          m_nextReport{};            //!< Next telling of the followers
-    core::Timestamp                          m_proveAt{};               //!< When an old first reading is proved here
-    unsigned                                 m_relaysLacking{0};        //!< Times that a relay could not be heard
-    bool                                     m_watchRole{false};        //!< Ranks among the watchers
-    std::vector<std::string>                 m_wanted;                  //!< Relays to follow
-    core::Timestamp                          m_rankAt{};                //!< Next ranking of the relays
-    core::Timestamp                          m_nextStore{};             //!< Next call, after failures
-    unsigned                                 m_storeFailures{0};        //!< In a row
-    core::Timestamp                          m_asOf{core::Timestamp::min()}; //!< The copy was the store's then
-    core::Timestamp                m_relayFresh{core::Timestamp::min()};     //!< A relay last sent a fresh picture
-    core::Timestamp                m_ill{core::Timestamp::min()};            //!< The store last failed somebody
-    std::optional<core::Timestamp> m_heardAt;                                //!< A relay or the store was heard then
-    core::Timestamp                m_now{};                                  //!< Last time given
+    ReplicaSettings                          m_settings;              //!< Settings
+    core::Random                             m_random;                //!< For jitter
+    core::Timestamp                          m_startedAt;             //!< When this replica was created
+    FirstCopy                                m_firstCopy;             //!< Decides how to obtain a first copy
+    ItemTable                                m_table;                 //!< The copy
+    std::shared_ptr<const std::vector<Item>> m_wholeCopy;             //!< All items, shared by updates that hold all
+    std::uint64_t                            m_wholeCopySequence{0};  //!< `ItemTable::sequence` of `m_wholeCopy`
+    ServerNews                               m_news;                  //!< Server reports that this node passes on
+    core::Timestamp                          m_nextServerReport{};    //!< When reports that may wait are sent next
+    core::Timestamp                          m_nextLimitReport{};     //!< When reports that hold limits are sent next
+    Introductions                            m_introductions;         //!< Relays that this node, as a seed, names
+    std::uint64_t                            m_newNodes{0};           //!< Counts nodes heard of for the first time
+    bool                                     m_rankingPending{false}; //!< Nodes were added since the last ranking
+    std::set<std::string>                    m_fullCopyFrom; //!< Relays to ask for all items when their link opens
+    std::deque<PackedItem>                   m_packedItems;  //!< Recently packed large values, newest first
+    std::vector<Item>                        m_changes;      //!< Changes for `takeChanges`
+    std::vector<ReplicaAction>               m_actions;      //!< Actions for `takeActions`
+    std::map<std::string, KnownNode>         m_knownNodes;   //!< Other nodes by address
+    MemberList                               m_members;      //!< All nodes, remembered longer than in `m_knownNodes`
+    std::map<LinkId, Follower>               m_followers;    //!< Links of nodes that receive updates
+    std::map<LinkId, Upstream>               m_upstreams;    //!< Links to relays
+    LinkId                                   m_nextLink{1};  //!< Next odd number; see `LinkId`
+    StoreState                               m_storeState{StoreState::Idle}; //!< Pending call of the store
+    bool                                     m_needsRead{true};      //!< Watching cannot continue without a reading
+    std::optional<core::Timestamp>           m_earlyReadDeadline;    //!< When a pending early reading is cancelled
+    core::Timestamp                          m_watchStartedAt{};     //!< When the last watch call was made
+    core::Duration                           m_watchTimeout{};       //!< Longest wait of that watch call
+    core::Timestamp                          m_nextFollowerReport{}; //!< When followers are reported to relays next
+    core::Timestamp                          m_proveAt{};            //!< When this node asks the store for a proof
+    unsigned                                 m_relaysWithoutCopy{0}; //!< Updates without a copy, and links that ended
+    bool                                     m_isWatcher{false};     //!< This node ranks among the watchers
+    std::vector<std::string>                 m_wantedUpstreams;      //!< Addresses of the relays to follow
+    core::Timestamp                          m_nextRanking{};        //!< When the relays are ranked next
+    core::Timestamp                          m_nextStoreCall{};      //!< Earliest next call of the store
+    unsigned                                 m_storeFailures{0};     //!< Consecutive failed calls of the store
+    core::Timestamp m_provedAt{core::Timestamp::min()};              //!< Time as of which the copy was proved current
+    core::Timestamp m_relayFreshAt{core::Timestamp::min()};  //!< When a relay last sent a copy that was not stale
+    core::Timestamp m_storeFailedAt{core::Timestamp::min()}; //!< When a store call of any node known to this one failed
+    std::optional<core::Timestamp> m_lastContactAt;          //!< Last answer of the store, or sending time of an update
+    core::Timestamp                m_now{};                  //!< Time of the last `tick`
 };
 
 } // namespace sailpath::replication
--- a/src/programs/GatewayProgram.cpp
+++ b/src/programs/GatewayProgram.cpp
@@ -127,11 +127,11 @@
     // All that happens to a change on its way has to fit into the servers' time for leaving.
     const core::Duration drain = seconds(settings, "drain-s");
     fleet.replica.staleAfter = drain * 7 / 10;
-    fleet.replica.watchWait = drain / 2;
+    fleet.replica.watchTimeout = drain / 2;
     fleet.replica.watchPause = drain / 10;
     fleet.belief.belief = drain * 11 / 20;
     fleet.belief.outage = drain;
-    fleet.replica.seed = std::random_device{}();
+    fleet.replica.randomSeed = std::random_device{}();
     return fleet;
 }
 
--- a/src/sailpath/fleet/FleetThread.cpp
+++ b/src/sailpath/fleet/FleetThread.cpp
@@ -50,12 +50,12 @@
     source(makeSource(context)),
     replica(settings.replica, now()),
     book(settings.belief),
-    quarantines(settings.replica.self.address, settings.replica.seed),
+    quarantines(settings.replica.self.address, settings.replica.randomSeed),
     hub(context, settings.listen,
         {[this](LinkId link) { step([&] { linkOpened(link); }); },
          [this](LinkId link) { step([&] { replica.linkClosed(link, now()); }); },
          [this](LinkId link, const adapters::links::LinkMessage& message) { received(link, message); },
-         [this](LinkId link) { replica.linkAlive(link, now()); }})
+         [this](LinkId link) { replica.linkDataReceived(link, now()); }})
     {
         asio::post(context, [this] { step([] {}); });
         thread = std::thread([this] { context.run(); });
@@ -82,7 +82,7 @@
         std::vector<deployment::ServerFailure> failures;
         deployment::CrashNews                  crashes;
         std::vector<deployment::LimitNews>     limits;
-        for (const replication::ServerReport& report : replica.takeNews())
+        for (const replication::ServerReport& report : replica.takeServerReports())
         {
             for (const std::uint32_t server : report.servers)
                 failures.push_back({report.origin, server});
@@ -192,7 +192,7 @@
             for (const auto& action : actions)
                 std::visit([this](const auto& item) { perform(item); }, action);
         }
-        if (replica.known() && !start.copyAt)
+        if (replica.hasCopy() && !start.copyAt)
             start.copyAt = now();
         if (replica.usable(now()))
             apply(replica.takeChanges(), oldAge);
@@ -232,7 +232,7 @@
     {
         const auto asked = now();
         ++readings.times;
-        source->read(action.how,
+        source->read(action.freshness,
                      [this, asked](const SourceAnswer& answer)
                      {
                          readings.bytes += answer.bytes;
@@ -276,7 +276,7 @@
         replica.storeFailed(now());
     }
 
-    void perform(const replication::GiveUpStore&)
+    void perform(const replication::CancelStoreCall&)
     {
         source->giveUp();
     }
@@ -306,7 +306,7 @@
         hub.send(action.link, action.update);
     }
 
-    void perform(const replication::Note& action)
+    void perform(const replication::LogEvent& action)
     {
         if (action.value)
             log.write(ports::Level::Info, action.event, {{"subject", action.subject}, {"value", *action.value}});
@@ -317,8 +317,8 @@
     void apply(const std::vector<replication::Item>& changes, core::Duration oldAge)
     {
         const auto at = now();
-        const bool ill = replica.storeIll(at, illWithin);
-        if (replica.known() && replica.age(at) < oldAge)
+        const bool ill = replica.storeFailedWithin(at, illWithin);
+        if (replica.hasCopy() && replica.age(at) < oldAge)
             book.renewed(oldAge, at);
         bool changed = false;
         for (const replication::Item& item : changes)
@@ -340,7 +340,7 @@
             book.settle(ill, at);
             publish(ill);
         }
-        else if (replica.nodes(at) != toldNodes && at >= nodesNext)
+        else if (replica.nodeCount(at) != toldNodes && at >= nodesNext)
         {
             nodesNext = at + nodesEvery;
             publish(ill);
@@ -446,7 +446,7 @@
 
     void publish(bool ill)
     {
-        toldNodes = replica.nodes(now());
+        toldNodes = replica.nodeCount(now());
         deployment::Declared declared;
         declared.deployment = deployment;
         deployment::InstanceChanges changes = book.takeChanges();
@@ -457,7 +457,7 @@
         declared.nodes = toldNodes;
         declared.suspect = ill;
         declared.evacuated = evacuated;
-        declared.members = replica.members(now());
+        declared.members = replica.memberHashes(now());
         declared.quarantines = quarantines.list();
         published(std::move(declared));
     }
@@ -484,16 +484,16 @@
         }
         const std::lock_guard<std::mutex> lock(mutex);
         proved = replica.provedAt();
-        heard = replica.heardAt();
+        heard = replica.lastContactAt();
         if (proved && awaited)
             proved = std::min(*proved, awaitedSince);
         shown = {replica.table().at(),
                  deployment ? deployment->version : 0,
                  age,
                  toldNodes,
-                 replica.followers(),
+                 replica.followerCount(),
                  source->calls(),
-                 replica.watching(),
+                 replica.storeCallPending(),
                  readings,
                  watches,
                  start,
--- a/src/sailpath/replication/MemberList.cpp
+++ b/src/sailpath/replication/MemberList.cpp
@@ -8,25 +8,25 @@
 {
 namespace
 {
-constexpr auto remembrance = std::chrono::seconds{60}; // Longer than nodes are cut off from one another as a rule; what
-                                                       // is chosen among members suffers little from some that are gone
+// Longer than nodes are usually cut off from each other; members that are gone do little harm to what is divided by rank.
+constexpr auto memberTtl = std::chrono::seconds{60};
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-void MemberList::heard(std::string_view address, core::Timestamp now)
+void MemberList::recordHeard(std::string_view address, core::Timestamp now)
 {
-    core::Timestamp& last = m_heard[static_cast<std::uint32_t>(core::hash(address))];
+    core::Timestamp& last = m_lastHeard[static_cast<std::uint32_t>(core::hash(address))];
     last = std::max(last, now);
 }
 
 ////////////////////////////////////////////////////////////
 std::vector<std::uint32_t> MemberList::hashes(core::Timestamp now)
 {
-    std::erase_if(m_heard, [now](const auto& item) { return now - item.second > remembrance; });
+    std::erase_if(m_lastHeard, [now](const auto& item) { return now - item.second > memberTtl; });
     std::vector<std::uint32_t> list;
-    list.reserve(m_heard.size());
-    for (const auto& [hash, last] : m_heard)
+    list.reserve(m_lastHeard.size());
+    for (const auto& [hash, last] : m_lastHeard)
         list.push_back(hash);
     std::sort(list.begin(), list.end());
     return list;
--- a/src/sailpath/replication/Replica.cpp
+++ b/src/sailpath/replication/Replica.cpp
@@ -8,21 +8,21 @@
 {
 namespace
 {
-constexpr auto     longestRest = std::chrono::milliseconds{500};
-constexpr auto     leastRest = std::chrono::milliseconds{5};
-constexpr auto     longestBackoff = std::chrono::milliseconds{1500};
-constexpr auto     atOnce = std::chrono::milliseconds{1};
-constexpr unsigned followerPatience = 3; // Times as long between calls of a store that fails, when watchers are heard
-constexpr unsigned manyNodes = 50;       // And as many times more as there are so many nodes
+constexpr auto     maxTickInterval = std::chrono::milliseconds{500};
+constexpr auto     minTickInterval = std::chrono::milliseconds{5};
+constexpr auto     maxStoreBackoff = std::chrono::milliseconds{1500};
+constexpr auto     immediateTimeout = std::chrono::milliseconds{1};
+constexpr unsigned followerBackoffFactor = 3;  // Multiplies the backoff of store calls while relays send updates
+constexpr unsigned nodesPerBackoffFactor = 50; // The factor is multiplied by the number of nodes divided by this
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
 Replica::Replica(ReplicaSettings settings, core::Timestamp now) :
 m_settings(std::move(settings)),
-m_random(m_settings.seed),
-m_born(now),
-m_first(m_settings.self, m_settings.seeds, now, m_random),
+m_random(m_settings.randomSeed),
+m_startedAt(now),
+m_firstCopy(m_settings.self, m_settings.seeds, now, m_random),
 m_news(static_cast<std::uint32_t>(core::hash(m_settings.self.address))),
 m_introductions(m_settings.self.capacity),
 m_now(now)
@@ -30,7 +30,7 @@
     for (const std::string& seed : m_settings.seeds)
     {
         if (seed != m_settings.self.address)
-            m_known[seed].heard = now;
+            m_knownNodes[seed].lastHeardAt = now;
     }
     tick(now);
 }
@@ -39,13 +39,13 @@
 void Replica::tick(core::Timestamp now)
 {
     m_now = now;
-    std::erase_if(m_known, [&](const auto& item) { return now - item.second.heard > m_settings.countLife; });
+    std::erase_if(m_knownNodes, [&](const auto& item) { return now - item.second.lastHeardAt > m_settings.countTtl; });
     manageUpstreams(now);
     manageStore(now);
     m_news.tick(now);
-    feedFollowers(now);
-    report(now);
-    reportNews(now);
+    updateFollowers(now);
+    reportFollowers(now);
+    sendServerReports(now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -77,41 +77,41 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<ServerReport> Replica::takeNews()
+std::vector<ServerReport> Replica::takeServerReports()
 {
     return m_news.takeNews();
 }
 
 ////////////////////////////////////////////////////////////
-bool Replica::shouldWatch(core::Timestamp now) const
+bool Replica::shouldCallStore(core::Timestamp now) const
 {
-    if (!known())
-        return m_first.readsStore(now);
-    if (m_watchRole || (!m_followers.empty() && !fedSteadily(now)))
+    if (!hasCopy())
+        return m_firstCopy.readsStore(now);
+    if (m_isWatcher || (!m_followers.empty() && !hasFreshRelay(now)))
         return true;
-    if (known() && !proved())
+    if (hasCopy() && !proved())
         return now >= m_proveAt;
     if (!m_followers.empty() && !m_table.exact())
         return true;
-    if (age(now) > m_settings.staleAfter && now - m_born > m_settings.bootWait)
+    if (age(now) > m_settings.staleAfter && now - m_startedAt > m_settings.startupPeriod)
         return true;
-    // Once begun, the own watch goes on until relays have proved steady.
-    return m_store == StoreState::Watching && !fedSteadily(now);
+    // A watch that was begun continues until a relay sends fresh updates.
+    return m_storeState == StoreState::Watching && !hasFreshRelay(now);
 }
 
 ////////////////////////////////////////////////////////////
 void Replica::manageStore(core::Timestamp now)
 {
-    giveUpEarlyReading(now);
-    if (m_store != StoreState::Idle || now < m_nextStore)
+    cancelOverdueEarlyRead(now);
+    if (m_storeState != StoreState::Idle || now < m_nextStoreCall)
         return;
-    if (!known() && m_first.readsEarly(now))
-        return readEarly(now);
-    if (!shouldWatch(now))
+    if (!hasCopy() && m_firstCopy.readsEarly(now))
+        return startEarlyRead(now);
+    if (!shouldCallStore(now))
         return;
-    if (m_needRead || !known())
+    if (m_needsRead || !hasCopy())
     {
-        m_store = StoreState::Reading;
+        m_storeState = StoreState::Reading;
         m_actions.push_back(ReadStore{});
         return;
     }
@@ -119,125 +119,126 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Replica::readEarly(core::Timestamp now)
+void Replica::startEarlyRead(core::Timestamp now)
 {
-    m_store = StoreState::Reading;
-    m_earlyUntil = m_first.earlyReading(now);
-    // An old reading will do, as relays tell what is new since.
+    m_storeState = StoreState::Reading;
+    m_earlyReadDeadline = m_firstCopy.earlyReading(now);
+    // An old reading suffices, because relays send the changes since then.
     m_actions.push_back(ReadStore{Reading::MayBeOld});
 }
 
 ////////////////////////////////////////////////////////////
-void Replica::giveUpEarlyReading(core::Timestamp now)
+void Replica::cancelOverdueEarlyRead(core::Timestamp now)
 {
-    if (!m_earlyUntil || m_store != StoreState::Reading || now < *m_earlyUntil)
+    if (!m_earlyReadDeadline || m_storeState != StoreState::Reading || now < *m_earlyReadDeadline)
         return;
-    m_earlyUntil.reset();
-    m_store = StoreState::Idle;
-    m_actions.push_back(GiveUpStore{});
+    m_earlyReadDeadline.reset();
+    m_storeState = StoreState::Idle;
+    m_actions.push_back(CancelStoreCall{});
 }
 
 ////////////////////////////////////////////////////////////
 void Replica::startWatch(core::Timestamp now)
 {
-    m_store = StoreState::Watching;
-    // A picture that is old already is proved at once; a watch proves it at its end only.
-    const bool prove = age(now) > m_settings.staleAfter / 4 || !m_table.exact();
-    m_watchedAt = now;
-    m_watchedFor = prove ? core::Duration(atOnce) : m_settings.watchWait;
-    m_actions.push_back(WatchStore{m_table.at(), m_watchedFor});
+    m_storeState = StoreState::Watching;
+    // A copy that is already old is proved at once; a watch with the usual timeout proves it only when it ends.
+    const bool proveNow = age(now) > m_settings.staleAfter / 4 || !m_table.exact();
+    m_watchStartedAt = now;
+    m_watchTimeout = proveNow ? core::Duration(immediateTimeout) : m_settings.watchTimeout;
+    m_actions.push_back(WatchStore{m_table.at(), m_watchTimeout});
 }
 
 ////////////////////////////////////////////////////////////
-void Replica::noteFresh(core::Timestamp asOf, core::Timestamp now)
+void Replica::recordProof(core::Timestamp asOf, core::Timestamp now)
 {
     if (age(now) > m_settings.staleAfter && now - asOf <= m_settings.staleAfter)
-        m_actions.push_back(Note{"picture-fresh", "", core::toMilliseconds(now - asOf)});
-    m_asOf = std::max(m_asOf, asOf);
+        m_actions.push_back(LogEvent{"picture-fresh", "", core::toMilliseconds(now - asOf)});
+    m_provedAt = std::max(m_provedAt, asOf);
 }
 
 ////////////////////////////////////////////////////////////
 void Replica::storeRead(std::span<const Item> items, std::uint64_t at, std::optional<core::Timestamp> asOf,
                         core::Timestamp now, std::uint64_t upTo)
 {
-    m_store = StoreState::Idle;
-    m_heardAt = now;
-    m_earlyUntil.reset();
+    m_storeState = StoreState::Idle;
+    m_lastContactAt = now;
+    m_earlyReadDeadline.reset();
     m_storeFailures = 0;
-    m_needRead = false;
-    m_actions.push_back(Note{"store-read", asOf ? "snapshot" : "in-parts", static_cast<double>(at)});
-    const bool first = !known();
+    m_needsRead = false;
+    m_actions.push_back(LogEvent{"store-read", asOf ? "snapshot" : "in-parts", static_cast<double>(at)});
+    const bool first = !hasCopy();
     if (asOf)
     {
         m_table.takeSnapshot(items, at, m_changes);
-        noteFresh(*asOf, now);
+        recordProof(*asOf, now);
     }
     else
         m_table.takeReading(items, at, upTo, m_changes);
-    // Relays have had the time that the reading took, too; who is one itself has nobody to wait for.
-    const bool alone = m_first.relays() || m_relaysLacking >= m_settings.upstreams;
+    // The wait for relays began at the start, not after the reading; a node that is itself a relay does not wait.
+    const bool alone = m_firstCopy.relays() || m_relaysWithoutCopy >= m_settings.upstreamCount;
     if (!proved())
-        m_proveAt = alone ? now : std::max(now, m_born + m_settings.proofWait);
-    if (first && known())
-        firstCopyTaken();
+        m_proveAt = alone ? now : std::max(now, m_startedAt + m_settings.proofWait);
+    if (first && hasCopy())
+        firstCopyReceived();
     tick(now);
 }
 
 ////////////////////////////////////////////////////////////
 void Replica::storeChanged(std::span<const Item> items, std::uint64_t at, core::Timestamp now)
 {
-    m_store = StoreState::Idle;
-    m_heardAt = now;
+    m_storeState = StoreState::Idle;
+    m_lastContactAt = now;
     m_storeFailures = 0;
-    // All keys are watched, so the copy is of the last change that was told, whatever revision is named.
-    std::uint64_t told = 0;
+    // All keys are watched, so the copy is complete as of the last reported change, whatever revision is named.
+    std::uint64_t latestChange = 0;
     for (const Item& item : items)
-        told = std::max(told, item.revision);
+        latestChange = std::max(latestChange, item.revision);
     if (items.empty() && at > m_table.at())
     {
-        // Something changed that was not told: only a reading shows it.
-        m_actions.push_back(Note{"change-not-told", "", static_cast<double>(at)});
-        m_needRead = true;
-        m_nextStore = now + m_settings.firstBackoff;
+        // The revision rose without a reported change: only a reading shows what changed.
+        m_actions.push_back(LogEvent{"change-not-told", "", static_cast<double>(at)});
+        m_needsRead = true;
+        m_nextStoreCall = now + m_settings.initialStoreBackoff;
         return tick(now);
     }
     if (!items.empty())
-        m_table.take(items, std::min(told, at), m_changes);
-    // The store waited for all of the time asked for, or answered some time since.
-    const core::Timestamp given = items.empty() ? m_watchedAt + m_watchedFor : m_watchedAt;
-    noteFresh(std::min(given, now), now);
-    m_needRead = m_needRead || (items.empty() && !m_followers.empty() && !m_table.exact());
+        m_table.take(items, std::min(latestChange, at), m_changes);
+    // An answer without changes was given after the full wait, one with changes at some time after the call.
+    const core::Timestamp answeredAt = items.empty() ? m_watchStartedAt + m_watchTimeout : m_watchStartedAt;
+    recordProof(std::min(answeredAt, now), now);
+    m_needsRead = m_needsRead || (items.empty() && !m_followers.empty() && !m_table.exact());
     if (!items.empty() && age(now) <= m_settings.staleAfter / 2)
-        m_nextStore = now + m_settings.watchPause;
+        m_nextStoreCall = now + m_settings.watchPause;
     tick(now);
 }
 
 ////////////////////////////////////////////////////////////
 void Replica::historyLost(core::Timestamp now)
 {
-    m_store = StoreState::Idle;
-    m_needRead = true;
-    m_actions.push_back(Note{"history-lost", "", 0});
+    m_storeState = StoreState::Idle;
+    m_needsRead = true;
+    m_actions.push_back(LogEvent{"history-lost", "", 0});
     tick(now);
 }
 
 ////////////////////////////////////////////////////////////
 void Replica::storeFailed(core::Timestamp now)
 {
-    m_store = StoreState::Idle;
-    m_earlyUntil.reset();
+    m_storeState = StoreState::Idle;
+    m_earlyReadDeadline.reset();
     if (m_storeFailures == 0)
-        m_actions.push_back(Note{"store-failed", "", 0});
+        m_actions.push_back(LogEvent{"store-failed", "", 0});
     const auto doublings = std::min(m_storeFailures, 4U);
     ++m_storeFailures;
-    m_ill = now;
-    // The watchers and relays look for the store's return and tell those that follow them. Hundreds of followers that
-    // call as well would be what the store is left with.
-    const bool     led = !m_watchRole && m_followers.empty() && hearsRelays();
-    const unsigned patience = led ? followerPatience * std::max(1U, nodes(now) / manyNodes) : 1;
-    const auto     backoff =
-        patience * std::min<core::Duration>(m_settings.firstBackoff * (1U << doublings), longestBackoff);
-    m_nextStore = now + core::fromMilliseconds(core::toMilliseconds(backoff) * (0.5 + m_random.unit()));
+    m_storeFailedAt = now;
+    // Watchers and relays look for the store's recovery on behalf of their followers. Calls of hundreds of followers
+    // would be most of the load on a store that recovers.
+    const bool     followsRelays = !m_isWatcher && m_followers.empty() && receivesUpdates();
+    const unsigned backoffFactor =
+        followsRelays ? followerBackoffFactor * std::max(1U, nodeCount(now) / nodesPerBackoffFactor) : 1;
+    const auto backoff =
+        backoffFactor * std::min<core::Duration>(m_settings.initialStoreBackoff * (1U << doublings), maxStoreBackoff);
+    m_nextStoreCall = now + core::fromMilliseconds(core::toMilliseconds(backoff) * (0.5 + m_random.unit()));
     tick(now);
 }
 
@@ -248,28 +249,29 @@
     if (found == m_upstreams.end())
         return;
     found->second.open = true;
-    if (!known())
+    if (!hasCopy())
     {
-        const std::vector<std::string> wanted = m_first.upstreams(now);
+        const std::vector<std::string> wanted = m_firstCopy.upstreams(now);
         if (std::find(wanted.begin(), wanted.end(), found->second.address) == wanted.end())
-            return dropUpstream(link); // Another seed was quicker; each that is greeted introduces all nodes.
-        m_first.reached(found->second.address, now);
+            return dropUpstream(
+                link); // Another seed connected first, and one hello is enough: each seed introduces all nodes.
+        m_firstCopy.reached(found->second.address, now);
     }
-    found->second.heard = now;
-    found->second.helloAt = now;
-    found->second.newsTold = m_news.end();
-    const bool whole = m_wholeFrom.erase(found->second.address) > 0;
+    found->second.lastReceivedAt = now;
+    found->second.helloSentAt = now;
+    found->second.sentReports = m_news.end();
+    const bool whole = m_fullCopyFrom.erase(found->second.address) > 0;
     m_actions.push_back(SendHello{link, {m_settings.self, whole ? 0 : m_table.at(), true}});
 }
 
 ////////////////////////////////////////////////////////////
-void Replica::linkAlive(LinkId link, core::Timestamp now)
+void Replica::linkDataReceived(LinkId link, core::Timestamp now)
 {
     const auto found = m_upstreams.find(link);
     if (found == m_upstreams.end())
         return;
-    found->second.heard = now;
-    m_first.bytesCame(now);
+    found->second.lastReceivedAt = now;
+    m_firstCopy.bytesCame(now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -280,23 +282,24 @@
     {
         const std::string address = upstream->second.address;
         m_upstreams.erase(upstream);
-        if (known())
-            avoid(address, now, "relay-lost");
+        if (hasCopy())
+            avoidRelay(address, now, "relay-lost");
         else
-            m_first.unreachable(address, now);
-        noteLacking(now);
+            m_firstCopy.unreachable(address, now);
+        recordRelayWithoutCopy(now);
     }
     m_followers.erase(link);
     tick(now);
 }
 
 ////////////////////////////////////////////////////////////
-void Replica::noteLacking(core::Timestamp now)
+void Replica::recordRelayWithoutCopy(core::Timestamp now)
 {
-    // As many relays as a node follows could not prove its first reading: all nodes may have just started.
-    m_first.lacking();
-    ++m_relaysLacking;
-    if (known() && !proved() && m_relaysLacking >= m_settings.upstreams)
+    // As many relays as a node follows could not prove its first reading: all nodes may have just started, so this
+    // node asks the store for the proof.
+    m_firstCopy.lacking();
+    ++m_relaysWithoutCopy;
+    if (hasCopy() && !proved() && m_relaysWithoutCopy >= m_settings.upstreamCount)
         m_proveAt = std::min(m_proveAt, now);
 }
 
@@ -315,46 +318,46 @@
 ////////////////////////////////////////////////////////////
 core::Timestamp Replica::nextDue() const
 {
-    core::Timestamp next = m_now + longestRest;
+    core::Timestamp next = m_now + maxTickInterval;
     for (const auto& [link, follower] : m_followers)
-        next = std::min(next, follower.nextBeat);
+        next = std::min(next, follower.nextUpdateAt);
     for (const auto& [link, upstream] : m_upstreams)
-        next = std::min(next, std::max(upstream.since, upstream.heard) + patienceWith(upstream));
-    if (m_store == StoreState::Idle)
-        next = std::min(next, m_nextStore > m_now ? m_nextStore : staleAt());
-    if (known() && !proved())
+        next = std::min(next, std::max(upstream.startedAt, upstream.lastReceivedAt) + upstreamTimeout(upstream));
+    if (m_storeState == StoreState::Idle)
+        next = std::min(next, m_nextStoreCall > m_now ? m_nextStoreCall : staleAt());
+    if (hasCopy() && !proved())
         next = std::min(next, std::max(m_proveAt, m_now));
-    if (m_now - m_born < m_settings.bootWait)
-        next = std::min(next, m_born + m_settings.bootWait);
-    if (!known())
-        next = std::min(next, m_first.nextDue(m_now));
-    if (m_earlyUntil)
-        next = std::min(next, *m_earlyUntil);
+    if (m_now - m_startedAt < m_settings.startupPeriod)
+        next = std::min(next, m_startedAt + m_settings.startupPeriod);
+    if (!hasCopy())
+        next = std::min(next, m_firstCopy.nextDue(m_now));
+    if (m_earlyReadDeadline)
+        next = std::min(next, *m_earlyReadDeadline);
     if (const auto urgent = m_news.nextUrgent())
         next = std::min(next, *urgent);
-    next = std::min(next, newsDue());
-    if (const auto refresh = m_introductions.nextRefresh(m_nodeChanges))
+    next = std::min(next, serverReportsDue());
+    if (const auto refresh = m_introductions.nextRefresh(m_newNodes))
         next = std::min(next, *refresh);
-    if (m_rankSoon)
-        next = std::min(next, m_rankAt);
-    return std::max(next, m_now) + leastRest;
+    if (m_rankingPending)
+        next = std::min(next, m_nextRanking);
+    return std::max(next, m_now) + minTickInterval;
 }
 
 ////////////////////////////////////////////////////////////
-core::Timestamp Replica::newsDue() const
+core::Timestamp Replica::serverReportsDue() const
 {
     const auto relay = std::find_if(m_upstreams.begin(), m_upstreams.end(),
-                                    [](const auto& item) { return item.second.open && item.second.fed; });
-    const bool waiting = relay != m_upstreams.end() && m_news.soonSince(relay->second.newsTold);
-    return waiting ? m_newsSoon : m_now + longestRest;
+                                    [](const auto& item) { return item.second.open && item.second.receivedUpdate; });
+    const bool waiting = relay != m_upstreams.end() && m_news.soonSince(relay->second.sentReports);
+    return waiting ? m_nextLimitReport : m_now + maxTickInterval;
 }
 
 ////////////////////////////////////////////////////////////
 core::Timestamp Replica::staleAt() const
 {
-    // Stale already: what can be done about it is under way.
-    const core::Timestamp at = known() ? m_asOf + m_settings.staleAfter : m_now;
-    return at > m_now ? at : m_now + longestRest;
+    // No tick is due for a copy that is already stale: the steps to renew the copy are under way.
+    const core::Timestamp at = hasCopy() ? m_provedAt + m_settings.staleAfter : m_now;
+    return at > m_now ? at : m_now + maxTickInterval;
 }
 
 ////////////////////////////////////////////////////////////
@@ -366,23 +369,23 @@
 ////////////////////////////////////////////////////////////
 core::Duration Replica::age(core::Timestamp now) const
 {
-    return m_asOf == core::Timestamp::min() ? core::Duration::max() : now - m_asOf;
+    return m_provedAt == core::Timestamp::min() ? core::Duration::max() : now - m_provedAt;
 }
 
 ////////////////////////////////////////////////////////////
 std::optional<core::Timestamp> Replica::provedAt() const
 {
-    return proved() ? std::optional(m_asOf) : std::nullopt;
+    return proved() ? std::optional(m_provedAt) : std::nullopt;
 }
 
 ////////////////////////////////////////////////////////////
-std::optional<core::Timestamp> Replica::heardAt() const
+std::optional<core::Timestamp> Replica::lastContactAt() const
 {
-    return m_heardAt;
+    return m_lastContactAt;
 }
 
 ////////////////////////////////////////////////////////////
-bool Replica::known() const
+bool Replica::hasCopy() const
 {
     return m_table.at() > 0;
 }
@@ -390,33 +393,33 @@
 ////////////////////////////////////////////////////////////
 bool Replica::proved() const
 {
-    return m_asOf != core::Timestamp::min();
+    return m_provedAt != core::Timestamp::min();
 }
 
 ////////////////////////////////////////////////////////////
 bool Replica::usable(core::Timestamp now) const
 {
-    return proved() || (known() && now - m_born > m_settings.bootWait);
+    return proved() || (hasCopy() && now - m_startedAt > m_settings.startupPeriod);
 }
 
 ////////////////////////////////////////////////////////////
-bool Replica::storeIll(core::Timestamp now, core::Duration within) const
+bool Replica::storeFailedWithin(core::Timestamp now, core::Duration within) const
 {
-    return m_ill != core::Timestamp::min() && now - m_ill < within;
+    return m_storeFailedAt != core::Timestamp::min() && now - m_storeFailedAt < within;
 }
 
 ////////////////////////////////////////////////////////////
-unsigned Replica::nodes(core::Timestamp now) const
+unsigned Replica::nodeCount(core::Timestamp now) const
 {
-    return 1 + static_cast<unsigned>(std::count_if(m_known.begin(), m_known.end(),
+    return 1 + static_cast<unsigned>(std::count_if(m_knownNodes.begin(), m_knownNodes.end(),
                                                    [&](const auto& item)
-                                                   { return now - item.second.heard < m_settings.countLife; }));
+                                                   { return now - item.second.lastHeardAt < m_settings.countTtl; }));
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<std::uint32_t> Replica::members(core::Timestamp now)
+std::vector<std::uint32_t> Replica::memberHashes(core::Timestamp now)
 {
-    m_members.heard(m_settings.self.address, now);
+    m_members.recordHeard(m_settings.self.address, now);
     std::vector<std::uint32_t> all = m_members.hashes(now);
     const bool                 hasOtherSeeds = std::any_of(m_settings.seeds.begin(), m_settings.seeds.end(),
                                                            [this](const std::string& seed) { return seed != m_settings.self.address; });
@@ -426,13 +429,13 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Replica::watching() const
+bool Replica::storeCallPending() const
 {
-    return m_store != StoreState::Idle;
+    return m_storeState != StoreState::Idle;
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t Replica::followers() const
+std::size_t Replica::followerCount() const
 {
     return m_followers.size();
 }
--- a/src/sailpath/replication/ReplicaStart.cpp
+++ b/src/sailpath/replication/ReplicaStart.cpp
@@ -1,4 +1,4 @@
-// How a replica helps others to a first copy: what a seed names, and whom it refers to relays.
+// Helps other nodes to a first copy: a seed names relays to them and refers them to these relays.
 
 #include <sailpath/replication/Replica.hpp>
 
@@ -8,78 +8,79 @@
 {
 namespace
 {
-constexpr auto referFor = std::chrono::milliseconds{500}; // After that a follower is served here all the same
+constexpr auto maxReferral =
+    std::chrono::milliseconds{500}; // From a follower's hello; then this node may serve the follower itself
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-void Replica::firstCopyTaken()
+void Replica::firstCopyReceived()
 {
-    // Nodes that were asked for all items need not send them any more; links are left to those who still wait.
+    // Relays that were asked for all items need not send them any more, which leaves their links to waiting nodes.
     for (const auto& [link, upstream] : m_upstreams)
     {
-        if (upstream.open && !upstream.fed)
+        if (upstream.open && !upstream.receivedUpdate)
             m_actions.push_back(SendHello{link, {m_settings.self, m_table.at(), true}});
     }
-    m_rankAt = {};
+    m_nextRanking = {};
 }
 
 ////////////////////////////////////////////////////////////
-void Replica::introduce(core::Timestamp now)
+void Replica::updateIntroductions(core::Timestamp now)
 {
     if (!isSeed(m_settings.self.address))
         return;
-    const auto waiting =
-        std::count_if(m_followers.begin(), m_followers.end(),
-                      [this](const auto& item) { return item.second.wantsAll && !isSeed(item.second.node.address); });
+    const auto waiting = std::count_if(m_followers.begin(), m_followers.end(),
+                                       [this](const auto& item)
+                                       { return item.second.needsFullCopy && !isSeed(item.second.node.address); });
     m_introductions.waiting(static_cast<std::size_t>(waiting), now);
-    if (m_introductions.wantsRefresh(m_nodeChanges, now))
+    if (m_introductions.wantsRefresh(m_newNodes, now))
     {
-        std::vector<NodeAddress> others = nodeList(now);
-        // Seeds have their hands full.
-        std::erase_if(others, [this](const NodeAddress& node) { return isSeed(node.address); });
-        m_introductions.refresh(others, m_nodeChanges, now);
+        std::vector<NodeAddress> candidates = nodeList(now);
+        // Seeds are not named as relays: introductions occupy them.
+        std::erase_if(candidates, [this](const NodeAddress& node) { return isSeed(node.address); });
+        m_introductions.refresh(candidates, m_newNodes, now);
     }
 }
 
 ////////////////////////////////////////////////////////////
-std::uint64_t Replica::namesHash(const Follower& follower) const
+std::uint64_t Replica::relayNamesHash(const Follower& follower) const
 {
     if (!isSeed(m_settings.self.address))
-        return follower.namesTold;
-    return isSeed(follower.node.address) ? m_nodeChanges : m_introductions.hashFor(follower.node);
+        return follower.sentNamesHash;
+    return isSeed(follower.node.address) ? m_newNodes : m_introductions.hashFor(follower.node);
 }
 
 ////////////////////////////////////////////////////////////
-void Replica::nameRelays(Update& update, Follower& follower, core::Timestamp now) const
+void Replica::addRelayNames(Update& update, Follower& follower, core::Timestamp now) const
 {
     if (!isSeed(m_settings.self.address))
         return;
-    follower.namesTold = namesHash(follower);
-    // Seeds tell each other of all, so that they name the same.
+    follower.sentNamesHash = relayNamesHash(follower);
+    // Seeds send each other all nodes, so that they name the same relays.
     update.nodes = isSeed(follower.node.address) ? nodeList(now) : m_introductions.namesFor(follower.node);
 }
 
 ////////////////////////////////////////////////////////////
-bool Replica::refers(const Follower& follower, core::Timestamp now)
+bool Replica::refersToRelays(const Follower& follower, core::Timestamp now)
 {
-    if (!follower.wantsAll || !m_introductions.crowd())
+    if (!follower.needsFullCopy || !m_introductions.crowd())
         return false;
-    if (now - follower.since >= referFor && mayTell() && m_introductions.mayServe(now))
+    if (now - follower.connectedAt >= maxReferral && canServeFollowers() && m_introductions.mayServe(now))
         return false;
-    // A seed has its hands full with introductions, and with relays: these come first.
+    // A seed is occupied by introductions, and other seeds and relays need its copy first.
     return !isSeed(follower.node.address) && !m_introductions.isRelay(follower.node);
 }
 
 ////////////////////////////////////////////////////////////
 std::shared_ptr<const std::vector<Item>> Replica::wholeCopy()
 {
-    if (!m_whole || m_wholeSequence != m_table.sequence())
+    if (!m_wholeCopy || m_wholeCopySequence != m_table.sequence())
     {
-        m_whole = std::make_shared<const std::vector<Item>>(m_table.all());
-        m_wholeSequence = m_table.sequence();
+        m_wholeCopy = std::make_shared<const std::vector<Item>>(m_table.all());
+        m_wholeCopySequence = m_table.sequence();
     }
-    return m_whole;
+    return m_wholeCopy;
 }
 
 } // namespace sailpath::replication
--- a/src/sailpath/replication/ReplicaUpdates.cpp
+++ b/src/sailpath/replication/ReplicaUpdates.cpp
@@ -1,4 +1,4 @@
-// What relays tell their followers, and what these take.
+// Sends updates to followers and reports to relays, and handles those that arrive.
 
 #include <sailpath/replication/Replica.hpp>
 
@@ -12,23 +12,26 @@
 {
 namespace
 {
-constexpr auto          nodesEvery = std::chrono::milliseconds{50}; // For each node known, between tellings of them
-constexpr auto          newNodesAfter = std::chrono::milliseconds{300};
-constexpr double        newNodesShare = 0.1; // More nodes than were told, so that they are told at once
-constexpr auto          worthTelling = std::chrono::milliseconds{400}; // A copy that is so much fresher than was told
-constexpr auto          reportEvery = std::chrono::seconds{3};         // Of a relay's followers, to its own relays
-constexpr std::uint32_t illLately = 500;                               // Milliseconds since the store failed somebody
-constexpr std::size_t   mostPacked = 8;                                // Packed values kept for the next follower
-constexpr auto          namesAfter = std::chrono::milliseconds{250};   // Between two times that a node is named relays
-constexpr std::uint32_t longestAge = std::numeric_limits<std::uint32_t>::max();
+constexpr auto nodeListIntervalPerNode =
+    std::chrono::milliseconds{50};                               // Between two lists of nodes, for each node known
+constexpr auto   newNodesDelay = std::chrono::milliseconds{300}; // Between two lists when many nodes are new
+constexpr double newNodesThreshold = 0.1; // Share of new nodes above which the next list is sent early
+constexpr auto   freshnessGain =
+    std::chrono::milliseconds{400}; // Gain in freshness that is sent without waiting for the next heartbeat
+constexpr auto followerReportInterval =
+    std::chrono::seconds{3};                        // Between two reports of a relay's followers to its own relays
+constexpr std::uint32_t recentStoreFailureMs = 500; // Age in milliseconds up to which a failed store call is recent
+constexpr std::size_t   maxPackedItems = 8;         // Packed values kept for further followers
+constexpr auto relayNamesInterval = std::chrono::milliseconds{250}; // Between two updates that name relays to a node
+constexpr std::uint32_t unknownAgeMs = std::numeric_limits<std::uint32_t>::max();
 
 ////////////////////////////////////////////////////////////
-std::uint32_t ageMs(core::Timestamp since, core::Timestamp now)
+std::uint32_t ageInMs(core::Timestamp since, core::Timestamp now)
 {
     if (since == core::Timestamp::min())
-        return longestAge;
+        return unknownAgeMs;
     const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(now - since).count();
-    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(age, 0, longestAge));
+    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(age, 0, unknownAgeMs));
 }
 
 } // namespace
@@ -36,15 +39,15 @@
 ////////////////////////////////////////////////////////////
 void Replica::helloReceived(LinkId link, const Hello& hello, core::Timestamp now)
 {
-    hear(hello.self, now);
+    recordNode(hello.self, now);
     Follower follower;
     follower.node = hello.self;
-    follower.sentAt = hello.at;
+    follower.sentRevision = hello.at;
     follower.sentSequence = m_table.sequence();
-    follower.wantsAll = hello.at == 0 || hello.at > m_table.at();
-    follower.packs = hello.packs;
-    follower.since = now;
-    follower.newsTold = m_news.end();
+    follower.needsFullCopy = hello.at == 0 || hello.at > m_table.at();
+    follower.supportsWhole = hello.packs;
+    follower.connectedAt = now;
+    follower.sentReports = m_news.end();
     m_followers[link] = follower;
     tick(now);
 }
@@ -56,55 +59,56 @@
     if (upstream == m_upstreams.end())
         return;
     for (const NodeAddress& node : update.nodes)
-        hear(node, now);
+        recordNode(node, now);
     m_news.heard(update.news, {link, true}, now);
-    upstream->second.heard = now;
-    const core::Duration way = wayOf(update, upstream->second, now);
-    // Who hears others of late only knows as little of them as who hears nobody.
-    m_heardAt = std::max(m_heardAt.value_or(core::Timestamp::min()), now - way);
-    Known& relay = m_known[upstream->second.address];
-    relay.heard = now;
-    if (update.illAgeMs != longestAge)
-        m_ill = std::max(m_ill, now - core::Duration(std::chrono::milliseconds{update.illAgeMs}));
+    upstream->second.lastReceivedAt = now;
+    const core::Duration transit = transitTime(update, upstream->second, now);
+    // A late update counts from its sending time: a node that receives old updates only knows as little as a node that
+    // receives none.
+    m_lastContactAt = std::max(m_lastContactAt.value_or(core::Timestamp::min()), now - transit);
+    KnownNode& relay = m_knownNodes[upstream->second.address];
+    relay.lastHeardAt = now;
+    if (update.illAgeMs != unknownAgeMs)
+        m_storeFailedAt = std::max(m_storeFailedAt, now - core::Duration(std::chrono::milliseconds{update.illAgeMs}));
     if (update.at == 0)
     {
-        if (!known() && isSeed(upstream->second.address))
-            m_first.named(update.nodes, now);
-        if (!known() && update.illAgeMs < illLately)
-            m_first.storeIll(now, m_random);
-        noteLacking(now);
+        if (!hasCopy() && isSeed(upstream->second.address))
+            m_firstCopy.named(update.nodes, now);
+        if (!hasCopy() && update.illAgeMs < recentStoreFailureMs)
+            m_firstCopy.storeIll(now, m_random);
+        recordRelayWithoutCopy(now);
         return tick(now);
     }
-    auto large = unpackLarge(update);
+    auto large = unpackLargeItems(update);
     if (update.after > m_table.at() || !large)
     {
-        // What came between, or the value that a large one differs from, is not known here: begin anew.
+        // The changes in between, or the base of a packed value, are missing here: connect again.
         if (!large)
-            m_wholeFrom.insert(upstream->second.address);
-        m_actions.push_back(Note{"update-missed", upstream->second.address, static_cast<double>(update.after)});
+            m_fullCopyFrom.insert(upstream->second.address);
+        m_actions.push_back(LogEvent{"update-missed", upstream->second.address, static_cast<double>(update.after)});
         dropUpstream(link);
         return tick(now);
     }
-    upstream->second.fed = true;
+    upstream->second.receivedUpdate = true;
     large->insert(large->end(), update.items.begin(), update.items.end());
-    const bool first = !known();
-    takeUpdate(upstream->second.address, update, update.whole ? std::span<const Item>(*update.whole) : *large);
-    if (first && known())
-        firstCopyTaken();
-    const core::Duration old = core::Duration(std::chrono::milliseconds{update.ageMs}) + way;
-    noteFresh(now - old, now);
-    if (old < m_settings.staleAfter)
+    const bool first = !hasCopy();
+    applyUpdate(upstream->second.address, update, update.whole ? std::span<const Item>(*update.whole) : *large);
+    if (first && hasCopy())
+        firstCopyReceived();
+    const core::Duration copyAge = core::Duration(std::chrono::milliseconds{update.ageMs}) + transit;
+    recordProof(now - copyAge, now);
+    if (copyAge < m_settings.staleAfter)
     {
         relay.failures = 0;
-        m_relayFresh = now;
+        m_relayFreshAt = now;
     }
-    else if (age(now) < m_settings.staleAfter || m_relayFresh < now - m_settings.avoidance)
+    else if (age(now) < m_settings.staleAfter || m_relayFreshAt < now - m_settings.relayBackoff)
     {
-        // Others are fresher, or nobody was for long: look elsewhere.
+        // Other sources are fresher, or no relay was fresh for long: follow another relay.
         const std::string address = upstream->second.address;
-        m_relayFresh = std::max(m_relayFresh, now - m_settings.avoidance + m_settings.linkSilence);
+        m_relayFreshAt = std::max(m_relayFreshAt, now - m_settings.relayBackoff + m_settings.linkTimeout);
         dropUpstream(link);
-        avoid(address, now, "relay-stale");
+        avoidRelay(address, now, "relay-stale");
     }
     tick(now);
 }
@@ -117,33 +121,34 @@
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration Replica::wayOf(const Update& update, Upstream& upstream, core::Timestamp now)
+core::Duration Replica::transitTime(const Update& update, Upstream& upstream, core::Timestamp now)
 {
     if (update.sentMs == 0)
-        return {}; // Of a former version
-    // The clocks differ by something that stays; the first update took no longer than hello and update together.
+        return {}; // A relay of a former version sends no time
+    // The clocks differ by a constant offset. The first update took no longer than hello and update together, and the
+    // change of the offset since then is the change of the transit time.
     const auto offset = now.time_since_epoch() - core::fromMilliseconds(static_cast<double>(update.sentMs));
-    if (!upstream.firstOffset)
+    if (!upstream.firstClockOffset)
     {
-        upstream.firstOffset = offset;
-        upstream.roundTrip = now - upstream.helloAt;
+        upstream.firstClockOffset = offset;
+        upstream.roundTrip = now - upstream.helloSentAt;
     }
-    return std::max<core::Duration>(upstream.roundTrip + offset - *upstream.firstOffset, {});
+    return std::max<core::Duration>(upstream.roundTrip + offset - *upstream.firstClockOffset, {});
 }
 
 ////////////////////////////////////////////////////////////
-void Replica::report(core::Timestamp now)
+void Replica::reportFollowers(core::Timestamp now)
 {
-    if (m_followers.empty() || now < m_nextReport)
+    if (m_followers.empty() || now < m_nextFollowerReport)
         return;
-    m_nextReport = now + reportEvery;
+    m_nextFollowerReport = now + followerReportInterval;
     std::vector<NodeAddress> nodes;
     for (const auto& [link, follower] : m_followers)
     {
-        const auto known = m_known.find(follower.node.address);
-        if (known != m_known.end())
-            nodes.push_back(
-                {known->first, known->second.dataCentre, ageMs(known->second.heard, now), known->second.capacity});
+        const auto known = m_knownNodes.find(follower.node.address);
+        if (known != m_knownNodes.end())
+            nodes.push_back({known->first, known->second.dataCentre, ageInMs(known->second.lastHeardAt, now),
+                             known->second.capacity});
     }
     for (const auto& [link, upstream] : m_upstreams)
     {
@@ -153,20 +158,20 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Replica::reportNews(core::Timestamp now)
+void Replica::sendServerReports(core::Timestamp now)
 {
-    // One relay is enough: it tells its own, and what the first of them hears comes back to all.
+    // One relay is enough: it passes reports on to its own relay, and from the first relays they return to all nodes.
     const auto relay = std::find_if(m_upstreams.begin(), m_upstreams.end(),
-                                    [](const auto& item) { return item.second.open && item.second.fed; });
-    if (relay == m_upstreams.end() || relay->second.newsTold == m_news.end())
+                                    [](const auto& item) { return item.second.open && item.second.receivedUpdate; });
+    if (relay == m_upstreams.end() || relay->second.sentReports == m_news.end())
         return;
-    const bool waits = now < m_nextNews && !m_news.urgentSince(relay->second.newsTold);
-    if (waits && (now < m_newsSoon || !m_news.soonSince(relay->second.newsTold)))
+    const bool waits = now < m_nextServerReport && !m_news.urgentSince(relay->second.sentReports);
+    if (waits && (now < m_nextLimitReport || !m_news.soonSince(relay->second.sentReports)))
         return;
-    m_newsSoon = now + ServerNews::gather;
-    m_nextNews = now + m_settings.beat;
-    auto reports = m_news.forRelay(relay->second.newsTold);
-    relay->second.newsTold = m_news.end();
+    m_nextLimitReport = now + ServerNews::gather;
+    m_nextServerReport = now + m_settings.heartbeatInterval;
+    auto reports = m_news.forRelay(relay->second.sentReports);
+    relay->second.sentReports = m_news.end();
     if (!reports.empty())
         m_actions.push_back(SendReport{relay->first, {{}, std::move(reports)}});
 }
@@ -176,21 +181,21 @@
 {
     m_news.heard(report.news, {link, false}, now);
     for (const NodeAddress& node : report.nodes)
-        hear(node, now);
+        recordNode(node, now);
     tick(now);
 }
 
 ////////////////////////////////////////////////////////////
-void Replica::packLarge(Update& update, std::uint64_t sentAt)
+void Replica::packLargeItems(Update& update, std::uint64_t sentRevision)
 {
     const auto        small = std::stable_partition(update.items.begin(), update.items.end(),
                                                     [](const Item& item) { return item.value.size() < largeValue; });
     std::vector<Item> whole;
     for (auto item = small; item != update.items.end(); ++item)
     {
-        const Item* const base = m_table.asOf(item->key, sentAt);
+        const Item* const base = m_table.asOf(item->key, sentRevision);
         if (base != nullptr && base->revision < item->revision && base->value.size() >= largeValue)
-            update.packed.push_back(packed(*item, *base));
+            update.packed.push_back(packedItem(*item, *base));
         else
             whole.push_back(std::move(*item));
     }
@@ -199,23 +204,23 @@
 }
 
 ////////////////////////////////////////////////////////////
-PackedItem Replica::packed(const Item& item, const Item& base)
+PackedItem Replica::packedItem(const Item& item, const Item& base)
 {
-    // Followers are told the same within moments of each other.
+    // Followers need the same packed values within moments of each other.
     const auto known =
-        std::find_if(m_packed.begin(), m_packed.end(),
+        std::find_if(m_packedItems.begin(), m_packedItems.end(),
                      [&](const PackedItem& one)
                      { return one.key == item.key && one.revision == item.revision && one.base == base.revision; });
-    if (known != m_packed.end())
+    if (known != m_packedItems.end())
         return *known;
-    m_packed.push_front({item.key, item.revision, base.revision, packValue(item.value, base.value)});
-    if (m_packed.size() > mostPacked)
-        m_packed.pop_back();
-    return m_packed.front();
+    m_packedItems.push_front({item.key, item.revision, base.revision, packValue(item.value, base.value)});
+    if (m_packedItems.size() > maxPackedItems)
+        m_packedItems.pop_back();
+    return m_packedItems.front();
 }
 
 ////////////////////////////////////////////////////////////
-std::optional<std::vector<Item>> Replica::unpackLarge(const Update& update) const
+std::optional<std::vector<Item>> Replica::unpackLargeItems(const Update& update) const
 {
     std::vector<Item> items;
     for (const PackedItem& large : update.packed)
@@ -238,95 +243,97 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Replica::takeUpdate(const std::string& relay, const Update& update, std::span<const Item> items)
+void Replica::applyUpdate(const std::string& relay, const Update& update, std::span<const Item> items)
 {
-    // Nodes of former versions do not say after which revision they tell.
+    // Nodes of former versions do not state the revision after which their updates begin.
     if (!update.full && update.after == 0)
         return m_table.take(items, update.at, m_changes);
     if (!update.full)
         return m_table.take({update.after, update.at, update.gapped, items}, m_changes);
     m_table.takeSnapshot(items, update.at, m_changes);
-    m_needRead = false;
-    m_actions.push_back(Note{"whole-copy-from-relay", relay, static_cast<double>(update.at)});
+    m_needsRead = false;
+    m_actions.push_back(LogEvent{"whole-copy-from-relay", relay, static_cast<double>(update.at)});
 }
 
 ////////////////////////////////////////////////////////////
-void Replica::feedFollowers(core::Timestamp now)
+void Replica::updateFollowers(core::Timestamp now)
 {
-    introduce(now);
+    updateIntroductions(now);
     for (auto& [link, follower] : m_followers)
     {
-        // A follower that listens is a node alive.
-        const auto known = m_known.find(follower.node.address);
-        if (known != m_known.end())
-            known->second.heard = now;
-        // News are told at once, and so is that the copy was proved anew: it grows old again at each hop.
-        const bool fresher = m_asOf > follower.fedAsOf + worthTelling;
-        const bool news = m_table.at() > follower.sentAt || m_table.sequence() != follower.sentSequence;
-        const bool tells = mayTell() && !refers(follower, now);
-        if (m_news.urgentSince(follower.newsTold))
-            follower.nextBeat = std::min(follower.nextBeat, follower.fedAt + m_settings.gather);
-        else if (m_news.soonSince(follower.newsTold))
-            follower.nextBeat = std::min<core::Timestamp>(follower.nextBeat, follower.fedAt + ServerNews::gather);
-        if (tells && follower.wantsAll)
-            follower.nextBeat = now;
-        else if (tells && (news || fresher))
-            follower.nextBeat = std::min(follower.nextBeat, follower.fedAt + m_settings.gather);
-        if (!tells && follower.wantsAll && namesHash(follower) != follower.namesTold)
+        // A follower with an open link is alive.
+        const auto known = m_knownNodes.find(follower.node.address);
+        if (known != m_knownNodes.end())
+            known->second.lastHeardAt = now;
+        // Changes are sent at once, and so is a newer proof of the copy, because the copy ages at each hop.
+        const bool fresher = m_provedAt > follower.sentProvedAt + freshnessGain;
+        const bool hasChanges = m_table.at() > follower.sentRevision || m_table.sequence() != follower.sentSequence;
+        const bool sendItems = canServeFollowers() && !refersToRelays(follower, now);
+        if (m_news.urgentSince(follower.sentReports))
+            follower.nextUpdateAt = std::min(follower.nextUpdateAt, follower.lastSentAt + m_settings.batchDelay);
+        else if (m_news.soonSince(follower.sentReports))
+            follower.nextUpdateAt =
+                std::min<core::Timestamp>(follower.nextUpdateAt, follower.lastSentAt + ServerNews::gather);
+        if (sendItems && follower.needsFullCopy)
+            follower.nextUpdateAt = now;
+        else if (sendItems && (hasChanges || fresher))
+            follower.nextUpdateAt = std::min(follower.nextUpdateAt, follower.lastSentAt + m_settings.batchDelay);
+        if (!sendItems && follower.needsFullCopy && relayNamesHash(follower) != follower.sentNamesHash)
         {
-            // Who has been named none waits for names; who was named some finds others only if these are silent.
-            const bool named = follower.namesTold != 0;
-            follower.nextBeat = std::min(follower.nextBeat, follower.fedAt + (named ? namesAfter : m_settings.gather));
+            // A follower without relay names waits for them; one with names needs others only if those relays are silent.
+            const bool named = follower.sentNamesHash != 0;
+            follower.nextUpdateAt = std::min(
+                follower.nextUpdateAt, follower.lastSentAt + (named ? relayNamesInterval : m_settings.batchDelay));
         }
-        if (now >= follower.nextBeat)
-            feed(link, follower, tells, now);
+        if (now >= follower.nextUpdateAt)
+            sendUpdate(link, follower, sendItems, now);
     }
 }
 
 ////////////////////////////////////////////////////////////
-void Replica::feed(LinkId link, Follower& follower, bool tells, core::Timestamp now)
+void Replica::sendUpdate(LinkId link, Follower& follower, bool sendItems, core::Timestamp now)
 {
     Update update;
-    update.at = tells ? m_table.at() : 0;
-    update.ageMs = ageMs(m_asOf, now);
-    update.illAgeMs = ageMs(m_ill, now);
+    update.at = sendItems ? m_table.at() : 0;
+    update.ageMs = ageInMs(m_provedAt, now);
+    update.illAgeMs = ageInMs(m_storeFailedAt, now);
     update.sentMs = static_cast<std::uint64_t>(core::toMilliseconds(now.time_since_epoch()));
-    if (update.at > 0 && follower.wantsAll)
+    if (update.at > 0 && follower.needsFullCopy)
         m_introductions.served(now);
     if (update.at > 0)
-        tellItems(update, follower);
-    if (update.at == 0 && follower.wantsAll)
-        nameRelays(update, follower, now);
+        addItems(update, follower);
+    if (update.at == 0 && follower.needsFullCopy)
+        addRelayNames(update, follower, now);
     else
-        tellNodes(update, follower, now);
-    update.news = m_news.forFollower(follower.newsTold, link);
-    tellLimits(update, follower, now);
-    follower.newsTold = m_news.end();
-    follower.fedAt = now;
-    follower.fedAsOf = m_asOf;
-    follower.nextBeat = now + m_settings.beat;
+        addNodes(update, follower, now);
+    update.news = m_news.forFollower(follower.sentReports, link);
+    addLimits(update, follower, now);
+    follower.sentReports = m_news.end();
+    follower.lastSentAt = now;
+    follower.sentProvedAt = m_provedAt;
+    follower.nextUpdateAt = now + m_settings.heartbeatInterval;
     m_actions.push_back(SendUpdate{link, std::move(update)});
 }
 
 ////////////////////////////////////////////////////////////
-void Replica::tellLimits(Update& update, Follower& follower, core::Timestamp now)
+void Replica::addLimits(Update& update, Follower& follower, core::Timestamp now)
 {
-    // A life that begins would send to limited servers as to others until it is told of each anew.
-    if (follower.limitsTold || update.at == 0)
+    // A node that starts would treat limited servers like others until each limit is reported again.
+    if (follower.limitsSent || update.at == 0)
         return;
-    follower.limitsTold = true;
+    follower.limitsSent = true;
     if (auto report = m_news.limitsInForce(now))
         update.news.push_back(std::move(*report));
 }
 
 ////////////////////////////////////////////////////////////
-void Replica::tellItems(Update& update, Follower& follower)
+void Replica::addItems(Update& update, Follower& follower)
 {
     const bool lost = follower.sentSequence < m_table.oldestSequence();
-    update.after = follower.wantsAll || lost ? 0 : m_table.tellAfter(follower.sentAt);
+    update.after = follower.needsFullCopy || lost ? 0 : m_table.tellAfter(follower.sentRevision);
     update.full = update.after == 0;
     update.gapped = m_table.gapAfter(update.after);
-    if (update.full && follower.packs)
+    if (update.full && follower.supportsWhole)
         update.whole = wholeCopy();
     else
         update.items = update.full ? m_table.all() : m_table.since(update.after);
@@ -334,40 +341,41 @@
     {
         const auto late = m_table.late(follower.sentSequence, update.after);
         update.items.insert(update.items.end(), late.begin(), late.end());
-        packLarge(update, follower.sentAt);
+        packLargeItems(update, follower.sentRevision);
     }
     follower.sentSequence = m_table.sequence();
-    follower.wantsAll = false;
-    follower.sentAt = update.at;
+    follower.needsFullCopy = false;
+    follower.sentRevision = update.at;
 }
 
 ////////////////////////////////////////////////////////////
-void Replica::tellNodes(Update& update, Follower& follower, core::Timestamp now) const
+void Replica::addNodes(Update& update, Follower& follower, core::Timestamp now) const
 {
-    const std::size_t known = m_known.size() + 1;
-    const bool        many = static_cast<double>(known) > (1 + newNodesShare) * static_cast<double>(follower.nodesTold);
-    if (now < follower.nextNodes && (!many || now < follower.newNodesAt))
+    const std::size_t known = m_knownNodes.size() + 1;
+    const bool        manyNew =
+        static_cast<double>(known) > (1 + newNodesThreshold) * static_cast<double>(follower.sentNodeCount);
+    if (now < follower.nextNodeList && (!manyNew || now < follower.newNodesNotBefore))
         return;
     update.nodes = nodeList(now);
-    follower.nodesTold = known;
-    follower.newNodesAt = now + newNodesAfter;
-    follower.nextNodes = now + std::max<core::Duration>(std::chrono::seconds{1}, nodesEvery * known);
+    follower.sentNodeCount = known;
+    follower.newNodesNotBefore = now + newNodesDelay;
+    follower.nextNodeList = now + std::max<core::Duration>(std::chrono::seconds{1}, nodeListIntervalPerNode * known);
 }
 
 ////////////////////////////////////////////////////////////
 std::vector<NodeAddress> Replica::nodeList(core::Timestamp now) const
 {
     std::vector<NodeAddress> nodes{m_settings.self};
-    for (const auto& [address, known] : m_known)
+    for (const auto& [address, known] : m_knownNodes)
     {
-        if (now - known.heard < m_settings.nodeLife && !known.dataCentre.empty())
-            nodes.push_back({address, known.dataCentre, ageMs(known.heard, now), known.capacity});
+        if (now - known.lastHeardAt < m_settings.nodeTtl && !known.dataCentre.empty())
+            nodes.push_back({address, known.dataCentre, ageInMs(known.lastHeardAt, now), known.capacity});
     }
     return nodes;
 }
 
 ////////////////////////////////////////////////////////////
-bool Replica::mayTell() const
+bool Replica::canServeFollowers() const
 {
     return proved() && m_table.exact();
 }
--- a/test/platform/Platform.test.cpp
+++ b/test/platform/Platform.test.cpp
@@ -105,7 +105,7 @@
         fleet::FleetSettings settings;
         settings.listen = {"127.0.0.1", 0};
         settings.replica.self = {"127.0.0.1:1", "dc", 0, 0};
-        settings.replica.watchWait = 100ms;
+        settings.replica.watchTimeout = 100ms;
         settings.belief = {200ms, 300ms, 300ms};
         return settings;
     }
--- a/test/replication/Contact.test.cpp
+++ b/test/replication/Contact.test.cpp
@@ -12,7 +12,7 @@
 constexpr core::Timestamp start{1h};
 
 ////////////////////////////////////////////////////////////
-/// \brief A node that follows one relay
+/// \brief A node with an open link to one relay
 ////////////////////////////////////////////////////////////
 struct FollowerFixture
 {
@@ -34,15 +34,15 @@
         return settings;
     }
 
-    /// \brief An update that was sent then and comes now
-    void hear(core::Timestamp sent, core::Timestamp now, bool first = false)
+    /// \brief Deliver at `now` an update that the relay sent at `sent`
+    void deliverUpdate(core::Timestamp sent, core::Timestamp now, bool isFirst = false)
     {
         Update update;
         update.at = 5;
-        update.full = first;
-        update.after = first ? 0 : 5;
+        update.full = isFirst;
+        update.after = isFirst ? 0 : 5;
         update.sentMs = static_cast<std::uint64_t>(core::toMilliseconds(sent.time_since_epoch()));
-        if (first)
+        if (isFirst)
             update.items = {{"k", "v", 5, false}};
         replica.updateReceived(link, update, now);
     }
@@ -55,20 +55,20 @@
 
 BOOST_FIXTURE_TEST_SUITE(ContactTest, FollowerFixture)
 
-BOOST_AUTO_TEST_CASE(WhoHeardNobodyHasHeardNothing)
+BOOST_AUTO_TEST_CASE(ANodeWithoutContactHasNoContactTime)
 {
-    BOOST_TEST(!replica.heardAt());
+    BOOST_TEST(!replica.lastContactAt());
 }
 
-BOOST_AUTO_TEST_CASE(AnUpdateOnItsWayForLongTellsOfWhenItWasSent)
+BOOST_AUTO_TEST_CASE(ADelayedUpdateCountsFromItsSendingTime)
 {
-    hear(start, start, true);
-    BOOST_REQUIRE(replica.heardAt());
-    BOOST_TEST((*replica.heardAt() == start));
-    hear(start + 350ms, start + 350ms);
-    BOOST_TEST((*replica.heardAt() == start + 350ms));
-    hear(start + 700ms, start + 2700ms);
-    BOOST_TEST((*replica.heardAt() <= start + 710ms));
+    deliverUpdate(start, start, true);
+    BOOST_REQUIRE(replica.lastContactAt());
+    BOOST_TEST((*replica.lastContactAt() == start));
+    deliverUpdate(start + 350ms, start + 350ms);
+    BOOST_TEST((*replica.lastContactAt() == start + 350ms));
+    deliverUpdate(start + 700ms, start + 2700ms);
+    BOOST_TEST((*replica.lastContactAt() <= start + 710ms));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/replication/FleetStart.test.cpp
+++ b/test/replication/FleetStart.test.cpp
@@ -6,9 +6,9 @@
 #include <cstdlib>
 
 ////////////////////////////////////////////////////////////
-/// The load: all VMs of a fleet get power within 150 ms, on links of 20 and
-/// 200 Mbit/s and shares of 0.1 and 0.5 of a processor, and each needs the
-/// whole picture of a store behind one link of 1,000 Mbit/s.
+/// Load of these tests: all VMs of a fleet get power within 150 ms, with links
+/// of 20 or 200 Mbit/s and shares of 0.1 or 0.5 of a processor, and each needs
+/// a full copy of a store behind one link of 1,000 Mbit/s.
 ////////////////////////////////////////////////////////////
 namespace
 {
@@ -20,7 +20,7 @@
 constexpr std::size_t fleet = 473;
 constexpr std::size_t dataCentres = 6;
 constexpr std::size_t strongNodes = 18;
-constexpr double      storeLink = 125'000; // Bytes a millisecond
+constexpr double      storeLink = 125'000; // Bytes per millisecond
 
 constexpr ReplicaGroup::Machine strong{25'000, 0.5, 3};
 constexpr ReplicaGroup::Machine weak{2500, 0.1, 1};
@@ -36,7 +36,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void fill(ReplicaGroup& group, std::size_t kilobytes)
+void fillStore(ReplicaGroup& group, std::size_t kilobytes)
 {
     constexpr std::size_t servers = 700;
     for (std::size_t server = 0; server < servers; ++server)
@@ -57,188 +57,188 @@
     for (const std::size_t node : order)
     {
         group.start(node);
-        group.pass(core::Duration(150'000 / count));
+        group.advance(core::Duration(150'000 / count));
     }
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief Start to usable at a share of the nodes; as never when so many are not there yet
+/// \brief Time from start to a usable copy that this share of the nodes does not exceed; 1e9 ms if fewer are usable
 ////////////////////////////////////////////////////////////
-double shareMs(const ReplicaGroup& group, double share, std::size_t of)
+double timeToUsableMs(const ReplicaGroup& group, double share, std::size_t nodeCount)
 {
-    const auto times = group.startToUsable();
-    const auto index = static_cast<std::size_t>(share * static_cast<double>(of - 1));
+    const auto times = group.timesToUsable();
+    const auto index = static_cast<std::size_t>(share * static_cast<double>(nodeCount - 1));
     return index < times.size() ? core::toMilliseconds(times[index]) : 1e9;
 }
 
 ////////////////////////////////////////////////////////////
-void tell(const char* what, const ReplicaGroup& group, std::size_t of)
+void logTimes(const char* scenario, const ReplicaGroup& group, std::size_t nodeCount)
 {
-    BOOST_TEST_MESSAGE(what << ": " << group.startToUsable().size() << " of " << of << ", median "
-                            << shareMs(group, 0.5, of) << " ms, 99 in 100 " << shareMs(group, 0.99, of) << " ms, calls "
-                            << group.calls());
+    BOOST_TEST_MESSAGE(scenario << ": " << group.timesToUsable().size() << " of " << nodeCount << ", median "
+                                << timeToUsableMs(group, 0.5, nodeCount) << " ms, 99th percentile "
+                                << timeToUsableMs(group, 0.99, nodeCount) << " ms, store calls " << group.storeCalls());
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(FleetStartTest)
 
-BOOST_AUTO_TEST_CASE(AFleetThatGetsPowerAtOnceIsReadySoonWithFewCalls)
+BOOST_AUTO_TEST_CASE(AFleetThatStartsAtOnceIsUsableSoonWithFewStoreCalls)
 {
     // 805 entries and 863 routes are 282 KB.
     for (const std::size_t kilobytes : {100, 282, 700})
     {
         ReplicaGroup group(machines(fleet), storeLink, 1, dataCentres);
-        fill(group, kilobytes);
+        fillStore(group, kilobytes);
         startAll(group, fleet, 7);
-        group.pass(2500ms);
-        tell(std::to_string(kilobytes).c_str(), group, fleet);
+        group.advance(2500ms);
+        logTimes(std::to_string(kilobytes).c_str(), group, fleet);
         const double size = std::max(1.0, static_cast<double>(kilobytes) / 282);
-        BOOST_TEST(shareMs(group, 0.5, fleet) <= 250.0 * size);
-        BOOST_TEST(shareMs(group, 0.99, fleet) <= 500.0 * size);
-        BOOST_TEST(group.calls() <= 150U);
+        BOOST_TEST(timeToUsableMs(group, 0.5, fleet) <= 250.0 * size);
+        BOOST_TEST(timeToUsableMs(group, 0.99, fleet) <= 500.0 * size);
+        BOOST_TEST(group.storeCalls() <= 150U);
     }
 }
 
-BOOST_AUTO_TEST_CASE(SeedsThatAreWeakAreStillBetterThanReadingsByAll)
+BOOST_AUTO_TEST_CASE(WeakSeedsAreStillFasterThanReadsByAllNodes)
 {
-    // Each of 473 greetings takes a tenth of a processor a millisecond; readings by all took over 2.5 s.
+    // Each of 473 hellos takes a tenth of a processor one millisecond; with reads by all nodes the start took over 2.5 s.
     ReplicaGroup group(machines(fleet, false), storeLink, 2, dataCentres);
-    fill(group, 350);
+    fillStore(group, 350);
     startAll(group, fleet, 8);
-    group.pass(2500ms);
-    tell("weak seeds", group, fleet);
-    BOOST_TEST(shareMs(group, 0.5, fleet) <= 1200.0);
-    BOOST_TEST(shareMs(group, 0.99, fleet) <= 2200.0);
-    BOOST_TEST(group.calls() <= fleet);
+    group.advance(2500ms);
+    logTimes("weak seeds", group, fleet);
+    BOOST_TEST(timeToUsableMs(group, 0.5, fleet) <= 1200.0);
+    BOOST_TEST(timeToUsableMs(group, 0.99, fleet) <= 2200.0);
+    BOOST_TEST(group.storeCalls() <= fleet);
 }
 
-BOOST_AUTO_TEST_CASE(ASmallFleetWhoseSeedsGetPowerLastDoesNotWaitForThem)
+BOOST_AUTO_TEST_CASE(ASmallFleetDoesNotWaitForSeedsThatStartLast)
 {
     constexpr std::size_t           small = 17;
     constexpr ReplicaGroup::Machine usual{125'000, 0.2, 2};
     ReplicaGroup                    group(std::vector<ReplicaGroup::Machine>(small, usual), storeLink, 9, 3);
-    fill(group, 120);
-    group.pass(5s);
+    fillStore(group, 120);
+    group.advance(5s);
     for (std::size_t node = 3; node < small; ++node)
         group.start(node);
-    group.pass(400ms);
-    tell("a small fleet, before its seeds", group, small);
-    BOOST_TEST(group.startToUsable().size() == small - 3);
-    BOOST_TEST(shareMs(group, 1.0, small - 3) <= 150.0);
+    group.advance(400ms);
+    logTimes("a small fleet, before its seeds", group, small);
+    BOOST_TEST(group.timesToUsable().size() == small - 3);
+    BOOST_TEST(timeToUsableMs(group, 1.0, small - 3) <= 150.0);
     for (std::size_t seed = 0; seed < 3; ++seed)
         group.start(seed);
-    group.pass(400ms);
-    BOOST_TEST(group.startToUsable().size() == small);
+    group.advance(400ms);
+    BOOST_TEST(group.timesToUsable().size() == small);
 }
 
-BOOST_AUTO_TEST_CASE(ALargeFleetWhoseSeedsGetPowerLastIsReadySoonAfterThem)
+BOOST_AUTO_TEST_CASE(ALargeFleetIsUsableSoonAfterSeedsThatStartLast)
 {
     ReplicaGroup group(machines(fleet), storeLink, 10, dataCentres);
-    fill(group, 282);
-    group.pass(5s);
+    fillStore(group, 282);
+    group.advance(5s);
     for (std::size_t node = 3; node < fleet; ++node)
         group.start(node);
-    group.pass(350ms);
+    group.advance(350ms);
     for (std::size_t seed = 0; seed < 3; ++seed)
         group.start(seed);
-    group.pass(2s);
-    tell("a large fleet, seeds 350 ms later", group, fleet);
-    BOOST_TEST(shareMs(group, 0.5, fleet) <= 350.0 + 250.0);
-    BOOST_TEST(shareMs(group, 0.99, fleet) <= 350.0 + 500.0);
-    BOOST_TEST(group.calls() - group.oldReads() <= 300U);
+    group.advance(2s);
+    logTimes("a large fleet, seeds 350 ms later", group, fleet);
+    BOOST_TEST(timeToUsableMs(group, 0.5, fleet) <= 350.0 + 250.0);
+    BOOST_TEST(timeToUsableMs(group, 0.99, fleet) <= 350.0 + 500.0);
+    BOOST_TEST(group.storeCalls() - group.staleReads() <= 300U);
 }
 
-BOOST_AUTO_TEST_CASE(WithoutSeedsAllAreReadyInTheTimeOfTheirOwnReadings)
+BOOST_AUTO_TEST_CASE(WithoutSeedsAllNodesAreUsableAfterTheirOwnReads)
 {
     ReplicaGroup group(machines(fleet), storeLink, 3, dataCentres);
-    fill(group, 350);
+    fillStore(group, 350);
     for (std::size_t seed = 0; seed < 3; ++seed)
-        group.cut(seed, true, true);
+        group.isolate(seed, true, true);
     startAll(group, fleet, 9);
-    group.pass(5s);
-    tell("no seeds", group, fleet);
-    BOOST_TEST(group.startToUsable().size() >= fleet - 3);
-    BOOST_TEST(shareMs(group, 0.99, fleet) <= 3000.0);
+    group.advance(5s);
+    logTimes("no seeds", group, fleet);
+    BOOST_TEST(group.timesToUsable().size() >= fleet - 3);
+    BOOST_TEST(timeToUsableMs(group, 0.99, fleet) <= 3000.0);
 }
 
-BOOST_AUTO_TEST_CASE(RelaysThatFreezeInTheMidstDelayOnlyBriefly)
+BOOST_AUTO_TEST_CASE(RelaysThatFreezeDuringTheStartDelayNodesOnlyBriefly)
 {
     ReplicaGroup group(machines(fleet), storeLink, 4, dataCentres);
-    fill(group, 350);
+    fillStore(group, 350);
     startAll(group, fleet, 10);
     for (std::size_t relay = 3; relay < strongNodes; relay += 2)
-        group.cut(relay, true, true);
-    group.pass(4s);
-    tell("relays freeze", group, fleet);
-    BOOST_TEST(group.startToUsable().size() >= fleet - strongNodes);
-    BOOST_TEST(shareMs(group, 0.9, fleet) <= 1500.0);
+        group.isolate(relay, true, true);
+    group.advance(4s);
+    logTimes("relays freeze", group, fleet);
+    BOOST_TEST(group.timesToUsable().size() >= fleet - strongNodes);
+    BOOST_TEST(timeToUsableMs(group, 0.9, fleet) <= 1500.0);
 }
 
-BOOST_AUTO_TEST_CASE(AStoreThatTurnsAThirdAwayDelaysNobodyForLong)
+BOOST_AUTO_TEST_CASE(AStoreThatRefusesAThirdOfTheNodesDelaysNoneForLong)
 {
     ReplicaGroup group(machines(fleet), storeLink, 5, dataCentres);
-    fill(group, 350);
+    fillStore(group, 350);
     for (std::size_t node = 0; node < fleet; node += 3)
-        group.turnAway(node, StoreMode::Refuse);
+        group.setStoreFor(node, StoreMode::Unavailable);
     startAll(group, fleet, 11);
-    group.pass(4s);
-    tell("a third turned away", group, fleet);
-    BOOST_TEST(shareMs(group, 0.5, fleet) <= 400.0);
-    BOOST_TEST(shareMs(group, 1.0, fleet) <= 2500.0);
+    group.advance(4s);
+    logTimes("the store refuses a third of the nodes", group, fleet);
+    BOOST_TEST(timeToUsableMs(group, 0.5, fleet) <= 400.0);
+    BOOST_TEST(timeToUsableMs(group, 1.0, fleet) <= 2500.0);
 }
 
-BOOST_AUTO_TEST_CASE(AStoreThatIsDownAtFirstIsNotRushedWhenItIsBack)
+BOOST_AUTO_TEST_CASE(AllNodesAreUsableSoonAfterAStoreOutageAtTheStart)
 {
     ReplicaGroup group(machines(fleet), storeLink, 6, dataCentres);
-    fill(group, 350);
-    group.setStore(StoreMode::Refuse);
+    fillStore(group, 350);
+    group.setStore(StoreMode::Unavailable);
     startAll(group, fleet, 12);
-    group.pass(3s);
-    group.setStore(StoreMode::Well);
-    const auto before = group.calls();
-    group.pass(3s);
-    tell("store down for 3 s", group, fleet);
-    BOOST_TEST(group.startToUsable().size() == fleet);
-    BOOST_TEST_MESSAGE("calls after its return " << group.calls() - before);
+    group.advance(3s);
+    group.setStore(StoreMode::Available);
+    const auto before = group.storeCalls();
+    group.advance(3s);
+    logTimes("store down for 3 s", group, fleet);
+    BOOST_TEST(group.timesToUsable().size() == fleet);
+    BOOST_TEST_MESSAGE("store calls after its recovery " << group.storeCalls() - before);
 }
 
-BOOST_AUTO_TEST_CASE(ANodeThatStartsAloneAsksTheStoreNothing)
+BOOST_AUTO_TEST_CASE(ANodeThatRestartsAloneMakesNoStoreCalls)
 {
     ReplicaGroup group(machines(90), storeLink, 7, dataCentres);
-    fill(group, 350);
+    fillStore(group, 350);
     startAll(group, 90, 13);
-    group.pass(8s);
+    group.advance(8s);
     for (const std::size_t node : {0UL, 1UL, 2UL, 20UL, 50UL, 89UL})
     {
-        if (group.replica(node).watching())
+        if (group.replica(node).storeCallPending())
             continue;
         group.kill(node);
-        group.pass(1s);
+        group.advance(1s);
         group.write("config", "after " + std::to_string(node));
-        group.pass(100ms);
-        const auto before = group.callsOf(node);
+        group.advance(100ms);
+        const auto before = group.storeCallsOf(node);
         group.start(node);
-        group.pass(300ms);
+        group.advance(300ms);
         BOOST_TEST(group.replica(node).usable(group.now()));
-        BOOST_TEST(group.valueAt(node, "config") == group.value("config"));
-        BOOST_TEST(group.callsOf(node) == before);
-        group.pass(2s);
+        BOOST_TEST(group.valueAt(node, "config") == group.storeValue("config"));
+        BOOST_TEST(group.storeCallsOf(node) == before);
+        group.advance(2s);
     }
 }
 
-BOOST_AUTO_TEST_CASE(AllKnowHowManyTheyAreBeforeTheRetryBudgetIsTheirs)
+BOOST_AUTO_TEST_CASE(AllNodesKnowTheFleetSizeBeforeTheyUseTheRetryBudget)
 {
     ReplicaGroup group(machines(fleet), storeLink, 8, dataCentres);
-    fill(group, 350);
+    fillStore(group, 350);
     startAll(group, fleet, 14);
-    group.pass(9s);
-    std::size_t few = fleet;
+    group.advance(9s);
+    std::size_t fewest = fleet;
     for (std::size_t node = 0; node < fleet; ++node)
-        few = std::min<std::size_t>(few, group.replica(node).nodes(group.now()));
-    BOOST_TEST(few >= fleet * 9 / 10);
-    BOOST_TEST(group.watchers() <= 4U);
-    tell("after 9 s", group, fleet);
+        fewest = std::min<std::size_t>(fewest, group.replica(node).nodeCount(group.now()));
+    BOOST_TEST(fewest >= fleet * 9 / 10);
+    BOOST_TEST(group.watcherCount() <= 4U);
+    logTimes("after 9 s", group, fleet);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/replication/ServerNews.test.cpp
+++ b/test/replication/ServerNews.test.cpp
@@ -19,7 +19,7 @@
 {
     std::size_t count = 0;
     for (std::size_t node = 0; node < nodes; ++node)
-        count += group.heardOfFailures(node, server) > 0 ? 1 : 0;
+        count += group.failureReports(node, server) > 0 ? 1 : 0;
     return count;
 }
 
@@ -28,7 +28,7 @@
 {
     std::size_t count = 0;
     for (std::size_t node = 0; node < nodes; ++node)
-        count += group.heardOfEnds(node, server) > 0 ? 1 : 0;
+        count += group.endReports(node, server) > 0 ? 1 : 0;
     return count;
 }
 
@@ -201,11 +201,11 @@
     {
         support::ReplicaGroup group(nodes, 21, 6);
         group.write("config", "1");
-        group.pass(30s);
+        group.advance(30s);
         for (std::uint32_t server = 1; server <= 3; ++server)
         {
             group.serverEnded(nodes / 2, server);
-            group.pass(500ms);
+            group.advance(500ms);
             BOOST_TEST(knowingOfEnd(group, nodes, server) == nodes - 1, nodes << " nodes, server " << server);
         }
     }
@@ -216,14 +216,14 @@
     constexpr std::size_t nodes = 120;
     support::ReplicaGroup group(nodes, 21, 6);
     group.write("config", "1");
-    group.pass(30s);
+    group.advance(30s);
     for (const std::size_t node : {3UL, 50UL, 119UL})
         group.serverFailed(node, 77);
-    group.pass(2s);
+    group.advance(2s);
     BOOST_TEST(knowing(group, nodes, 77) == nodes);
     std::size_t all = 0;
     for (std::size_t node = 0; node < nodes; ++node)
-        all += group.heardOfFailures(node, 77);
+        all += group.failureReports(node, 77);
     BOOST_TEST(all == 3 * (nodes - 1));
 }
 
--- a/test/replication/removals/Interleavings.test.cpp
+++ b/test/replication/removals/Interleavings.test.cpp
@@ -90,9 +90,9 @@
 {
     ReplicaGroup group(nodes, seed);
     core::Random random(seed * 15485863);
-    group.slowStore(trouble.storeBack);
-    group.slowLinks({}, trouble.linkWay);
-    group.readInPages(trouble.apart);
+    group.delayStoreAnswers(trouble.storeBack);
+    group.delayLinks({}, trouble.linkWay);
+    group.splitReads(trouble.apart);
     const auto               keyOf = [](std::size_t key) { return "servers/" + std::to_string(key); };
     // Every server has a key of its own, as starts have ids of their own.
     std::size_t              next = 0;
@@ -104,7 +104,7 @@
     };
     for (int key = 0; key < 8; ++key)
         add();
-    group.pass(4s);
+    group.advance(4s);
     for (int step = 0; step < trouble.steps; ++step)
     {
         const std::size_t node = random.below(nodes);
@@ -120,12 +120,12 @@
         case 3:
             if (trouble.deaf)
             {
-                group.deafen(1s, trouble.jumps);
-                group.pass(core::Duration(random.below(400'000)));
+                group.suppressChanges(1s, trouble.jumps);
+                group.advance(core::Duration(random.below(400'000)));
                 add();
                 group.remove(keyOf(present[0]));
                 present.erase(present.begin());
-                group.pass(core::Duration(random.below(500'000)));
+                group.advance(core::Duration(random.below(500'000)));
             }
             group.compact();
             break;
@@ -133,7 +133,7 @@
         case 5:
             add();
             // Some leave at once.
-            group.pass(core::Duration(random.below(60'000)));
+            group.advance(core::Duration(random.below(60'000)));
             if (random.unit() < 0.5)
             {
                 group.remove(keyOf(present.back()));
@@ -149,16 +149,16 @@
             }
             break;
         }
-        group.pass(core::Duration(random.below(300'000)));
+        group.advance(core::Duration(random.below(300'000)));
     }
     for (std::size_t node = 0; node < nodes; ++node)
         group.start(node);
-    group.pass(8s);
-    Played played{group.incomplete(), 0, group.overstated()};
+    group.advance(8s);
+    Played played{group.firstIncompleteCopy(), 0, group.overstatedFreshness()};
     for (std::size_t node = 0; node < nodes; ++node)
     {
         for (std::size_t key = 0; key < next; ++key)
-            played.wrong += group.valueAt(node, keyOf(key)) != group.value(keyOf(key)) ? 1 : 0;
+            played.wrong += group.valueAt(node, keyOf(key)) != group.storeValue(keyOf(key)) ? 1 : 0;
     }
     return played;
 }
@@ -458,29 +458,29 @@
     constexpr std::size_t nodes = 13;
     ReplicaGroup          group(nodes, seed);
     group.write("config", "1");
-    group.pass(6s);
-    group.slowLinks({}, 2500ms);
-    group.slowSender(nodes);
+    group.advance(6s);
+    group.delayLinks({}, 2500ms);
+    group.delayOnlyFrom(nodes);
     std::size_t slow = 0;
     for (std::size_t node = 0; node < nodes; ++node)
     {
-        if (!group.replica(node).watching() || slow == slowRelays)
+        if (!group.replica(node).storeCallPending() || slow == slowRelays)
             continue;
-        group.slowSender(node);
+        group.delayOnlyFrom(node);
         ++slow;
     }
-    group.pass(4s);
+    group.advance(4s);
     std::size_t most = 0;
     for (int change = 0; change < 10; ++change)
     {
         group.write("config", "change " + std::to_string(change));
-        group.pass(1900ms);
+        group.advance(1900ms);
         std::size_t lacking = 0;
         for (std::size_t node = 0; node < nodes; ++node)
-            lacking += group.valueAt(node, "config") != group.value("config") ? 1 : 0;
+            lacking += group.valueAt(node, "config") != group.storeValue("config") ? 1 : 0;
         most = std::max(most, lacking);
     }
-    overstated = std::max(overstated, group.overstated());
+    overstated = std::max(overstated, group.overstatedFreshness());
     return most;
 }
 
@@ -513,16 +513,16 @@
     constexpr std::size_t nodes = 40;
     ReplicaGroup          group(nodes, 3);
     group.write("config", "1");
-    group.pass(10s);
+    group.advance(10s);
     core::Random random(5);
-    group.slowLinks(450ms, 450ms);
-    group.pass(3s);
+    group.delayLinks(450ms, 450ms);
+    group.advance(3s);
     for (int change = 0; change < 30; ++change)
     {
         group.write("config", "change " + std::to_string(change));
-        group.pass(core::Duration(400'000 + random.below(600'000)));
+        group.advance(core::Duration(400'000 + random.below(600'000)));
     }
-    BOOST_TEST(core::toMilliseconds(group.overstated()) <= 600.0);
+    BOOST_TEST(core::toMilliseconds(group.overstatedFreshness()) <= 600.0);
 }
 
 BOOST_AUTO_TEST_CASE(ThroughTwoSlowHopsAllHearWithinTheBound)
@@ -530,19 +530,19 @@
     constexpr std::size_t nodes = 40;
     ReplicaGroup          group(nodes, 3);
     group.write("config", "1");
-    group.pass(10s);
-    group.slowLinks(1s, 1s);
-    group.pass(4s);
+    group.advance(10s);
+    group.delayLinks(1s, 1s);
+    group.advance(4s);
     std::size_t most = 0;
     for (int change = 0; change < 10; ++change)
     {
         group.write("config", "change " + std::to_string(change));
-        group.pass(1900ms);
+        group.advance(1900ms);
         std::size_t lacking = 0;
         for (std::size_t node = 0; node < nodes; ++node)
-            lacking += group.valueAt(node, "config") != group.value("config") ? 1 : 0;
+            lacking += group.valueAt(node, "config") != group.storeValue("config") ? 1 : 0;
         most = std::max(most, lacking);
-        group.pass(300ms);
+        group.advance(300ms);
     }
     BOOST_TEST(most == 0U);
 }
@@ -558,13 +558,13 @@
     {
         ReplicaGroup group(nodes, 4, dataCentres);
         group.write("config", "1");
-        group.pass(70s);
+        group.advance(70s);
         double   parts = 0;
         unsigned least = static_cast<unsigned>(nodes);
         for (std::size_t node = 0; node < nodes; ++node)
         {
-            parts += 0.6 / group.replica(node).nodes(group.now());
-            least = std::min(least, group.replica(node).nodes(group.now()));
+            parts += 0.6 / group.replica(node).nodeCount(group.now());
+            least = std::min(least, group.replica(node).nodeCount(group.now()));
         }
         BOOST_TEST_MESSAGE(dataCentres << " data centres: parts together " << parts << ", least count " << least);
         BOOST_TEST(parts <= 1.0, dataCentres << " data centres: " << parts);
@@ -576,10 +576,10 @@
     constexpr std::size_t nodes = 90;
     ReplicaGroup          group(nodes, 4);
     group.write("config", "1");
-    group.pass(70s);
+    group.advance(70s);
     std::size_t fewer = 0;
     for (std::size_t node = 0; node < nodes; ++node)
-        fewer += group.replica(node).nodes(group.now()) < nodes ? 1 : 0;
+        fewer += group.replica(node).nodeCount(group.now()) < nodes ? 1 : 0;
     BOOST_TEST(fewer == 0U);
 }
 
--- a/test/replication/removals/Removals.test.cpp
+++ b/test/replication/removals/Removals.test.cpp
@@ -141,7 +141,7 @@
         core::Random random(seed * 104729);
         for (std::size_t key = 0; key < keys; ++key)
             group.write(keyOf(key), "ready");
-        group.pass(5s);
+        group.advance(5s);
         for (int step = 0; step < 40; ++step)
         {
             const std::size_t key = random.below(keys);
@@ -151,16 +151,16 @@
                 group.write(keyOf(key), std::to_string(step));
             const std::size_t node = random.below(nodes);
             group.kill(node);
-            group.pass(core::Duration(random.below(150'000)));
+            group.advance(core::Duration(random.below(150'000)));
             group.start(node);
             if (step % 10 == 9)
                 group.compact();
         }
-        group.pass(5s);
+        group.advance(5s);
         for (std::size_t node = 0; node < nodes; ++node)
         {
             for (std::size_t key = 0; key < keys; ++key)
-                BOOST_TEST(group.valueAt(node, keyOf(key)) == group.value(keyOf(key)),
+                BOOST_TEST(group.valueAt(node, keyOf(key)) == group.storeValue(keyOf(key)),
                            "seed " << seed << ", node " << node << ", " << keyOf(key));
         }
     }
--- a/test/support/ReplicaGroup.cpp
+++ b/test/support/ReplicaGroup.cpp
@@ -11,24 +11,24 @@
 using replication::Item;
 using replication::LinkId;
 
-constexpr core::Duration storeWay = 2ms;
-constexpr core::Duration callPatience = 900ms;
-constexpr core::Duration oldest = 3s; // Of a reading that may be old
-constexpr std::size_t    seeds = 3;
-
-// Of nodes whose links and processors take time; milliseconds are of a whole core. Measured on one with 805 entries and
-// 863 routes, 282 KB: packed 24 KB in 1.0 ms, unpacked into a table in 0.9, an answer of the store of 417 KB read in 3.5,
-// entries and configuration read in 6.8.
+constexpr core::Duration storeDelay = 2ms;
+constexpr core::Duration storeCallTimeout = 900ms;
+constexpr core::Duration maxReadAge = 3s; // Of the items returned to a reading that accepts old ones
+constexpr std::size_t    seedCount = 3;
+
+// Costs of simulated links and processors; milliseconds are of a whole core. Measured with 805 entries and 863 routes,
+// 282 KB: packing to 24 KB took 1.0 ms, unpacking into a table 0.9 ms, parsing the store's answer of 417 KB 3.5 ms, and
+// parsing entries and configuration 6.8 ms.
 constexpr double base64Share = 4.0 / 3;
-constexpr double storeItemBytes = 60; // Names and revisions of an item in an answer of the store
-constexpr double packedShare = 0.1;   // Of the bytes of items
-constexpr double messageBytes = 100;  // Of a message without items and nodes
-constexpr double nodeBytes = 8;       // Of a node in a list
-constexpr double messageMs = 0.05;    // To read or write a short message; assumed
+constexpr double storeItemOverhead = 60; // Bytes of an item's names and revisions in an answer of the store
+constexpr double packedShare = 0.1;      // Packed size as a share of the bytes of the items
+constexpr double messageBytes = 100;     // Bytes of a message without items and nodes
+constexpr double nodeBytes = 8;          // Bytes of a node in a list
+constexpr double messageCoreMs = 0.05;   // To read or write a short message
 constexpr double packMsPerByte = 1.0 / 280'000;
 constexpr double unpackMsPerByte = 1.0 / 310'000;
-constexpr double parseMsPerByte = 1.0 / 120'000; // Of the store's answers
-constexpr double applyMsPerByte = 1.0 / 41'000;  // Of entries and configuration
+constexpr double parseMsPerByte = 1.0 / 120'000; // Answers of the store
+constexpr double applyMsPerByte = 1.0 / 41'000;  // Entries and configuration
 
 } // namespace
 
@@ -55,58 +55,58 @@
     for (std::size_t node = 0; node < machines.size(); ++node)
     {
         m_nodes[node].machine = machines[node];
-        m_nodes[node].up.perMs = machines[node].linkBytesPerMs;
-        m_nodes[node].down.perMs = machines[node].linkBytesPerMs;
+        m_nodes[node].uplink.bytesPerMs = machines[node].linkBytesPerMs;
+        m_nodes[node].downlink.bytesPerMs = machines[node].linkBytesPerMs;
     }
 }
 
 ////////////////////////////////////////////////////////////
-bool ReplicaGroup::timed() const
+bool ReplicaGroup::simulatesLoad() const
 {
-    return m_storeLink.perMs > 0;
+    return m_storeLink.bytesPerMs > 0;
 }
 
 ////////////////////////////////////////////////////////////
-double ReplicaGroup::storeBytes() const
+double ReplicaGroup::storeReadBytes() const
 {
     double bytes = 0;
     for (const auto& [key, item] : m_store)
-        bytes += item.gone ? 0 : static_cast<double>(key.size() + item.value.size()) * base64Share + storeItemBytes;
+        bytes += item.gone ? 0 : static_cast<double>(key.size() + item.value.size()) * base64Share + storeItemOverhead;
     return bytes;
 }
 
 ////////////////////////////////////////////////////////////
-core::Timestamp ReplicaGroup::carry(Line& from, Line& to, double bytes)
+core::Timestamp ReplicaGroup::transfer(SerialLink& from, SerialLink& to, double bytes)
 {
-    const core::Timestamp begin = std::max(m_now, from.free);
-    from.free = begin + core::fromMilliseconds(bytes / from.perMs);
-    to.free = std::max(begin, to.free) + core::fromMilliseconds(bytes / to.perMs);
-    return std::max(from.free, to.free);
+    const core::Timestamp begin = std::max(m_now, from.freeAt);
+    from.freeAt = begin + core::fromMilliseconds(bytes / from.bytesPerMs);
+    to.freeAt = std::max(begin, to.freeAt) + core::fromMilliseconds(bytes / to.bytesPerMs);
+    return std::max(from.freeAt, to.freeAt);
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::work(std::size_t index, double coreMs)
+void ReplicaGroup::useProcessor(std::size_t index, double coreMs)
 {
     Node& node = m_nodes[index];
-    node.busy = std::max(node.busy, m_now) + core::fromMilliseconds(coreMs / node.machine.cores);
+    node.busyUntil = std::max(node.busyUntil, m_now) + core::fromMilliseconds(coreMs / node.machine.cores);
 }
 
 ////////////////////////////////////////////////////////////
 void ReplicaGroup::deliver(std::size_t index, std::uint64_t life, core::Timestamp time, double coreMs,
-                           std::function<void()> what)
+                           std::function<void()> work)
 {
-    if (!timed())
-        return at(time, [this, index, life, what = std::move(what)] { toNode(index, life, what); });
-    at(time,
-       [this, index, life, coreMs, what = std::move(what)]
-       {
-           work(index, coreMs);
-           at(m_nodes[index].busy, [this, index, life, what] { toNode(index, life, what); });
-       });
+    if (!simulatesLoad())
+        return schedule(time, [this, index, life, work = std::move(work)] { runOnNode(index, life, work); });
+    schedule(time,
+             [this, index, life, coreMs, work = std::move(work)]
+             {
+                 useProcessor(index, coreMs);
+                 schedule(m_nodes[index].busyUntil, [this, index, life, work] { runOnNode(index, life, work); });
+             });
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<core::Duration> ReplicaGroup::startToUsable() const
+std::vector<core::Duration> ReplicaGroup::timesToUsable() const
 {
     std::vector<core::Duration> times;
     for (const Node& node : m_nodes)
@@ -131,22 +131,22 @@
     if (node.replica)
         return;
     ++node.life;
-    node.seen.clear();
-    node.checked = {};
+    node.seenRevisions.clear();
+    node.lastChecked = {};
     replication::ReplicaSettings settings;
-    const std::uint32_t          capacity = timed() ? node.machine.capacity : 0;
+    const std::uint32_t          capacity = simulatesLoad() ? node.machine.capacity : 0;
     settings.self = {addressOf(index), "dc" + std::to_string(index % m_dataCentres), 0, capacity};
-    for (std::size_t i = 0; i < std::min(seeds, m_nodes.size()); ++i)
+    for (std::size_t i = 0; i < std::min(seedCount, m_nodes.size()); ++i)
         settings.seeds.push_back(addressOf(i));
-    settings.seed = m_seed * 1000 + index;
+    settings.randomSeed = m_seed * 1000 + index;
     node.startedAt = m_now;
     node.usableAt.reset();
-    node.packed.reset();
-    node.busy = m_now;
-    node.up.free = m_now;
-    node.down.free = m_now;
+    node.packedCopy.reset();
+    node.busyUntil = m_now;
+    node.uplink.freeAt = m_now;
+    node.downlink.freeAt = m_now;
     node.replica = std::make_unique<replication::Replica>(settings, m_now);
-    act(index);
+    performActions(index);
 }
 
 ////////////////////////////////////////////////////////////
@@ -157,36 +157,36 @@
         return;
     node.replica.reset();
     ++node.life;
-    const auto ends = std::exchange(node.ends, {});
+    const auto ends = std::exchange(node.linkEnds, {});
     for (const auto& [link, far] : ends)
     {
-        if (reach(index, far.first))
-            breakLink(far.first, far.second);
+        if (reachable(index, far.first))
+            closeLink(far.first, far.second);
         else
-            m_nodes[far.first].ends.erase(far.second);
+            m_nodes[far.first].linkEnds.erase(far.second);
     }
     std::erase_if(m_watches, [index](const Watch& watch) { return watch.node == index; });
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::cut(std::size_t node, bool fromStore, bool fromPeers)
+void ReplicaGroup::isolate(std::size_t node, bool fromStore, bool fromPeers)
 {
-    m_nodes[node].cutStore = fromStore;
-    m_nodes[node].cutPeers = fromPeers;
+    m_nodes[node].isolatedFromStore = fromStore;
+    m_nodes[node].isolatedFromPeers = fromPeers;
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::heal(std::size_t node)
+void ReplicaGroup::reconnect(std::size_t node)
 {
-    cut(node, false, false);
+    isolate(node, false, false);
 }
 
 ////////////////////////////////////////////////////////////
 void ReplicaGroup::write(const std::string& key, const std::string& value)
 {
     m_store[key] = {key, value, ++m_revision, false};
-    note(m_store[key]);
-    remember();
+    recordChange(m_store[key]);
+    recordVersion();
     answerWatches();
 }
 
@@ -194,106 +194,109 @@
 void ReplicaGroup::remove(const std::string& key)
 {
     m_store[key] = {key, {}, ++m_revision, true};
-    note(m_store[key]);
-    remember();
+    recordChange(m_store[key]);
+    recordVersion();
     answerWatches();
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::note(const Item& change)
+void ReplicaGroup::recordChange(const Item& change)
 {
     m_history[change.key].push_back(change);
     m_changedAt[change.revision] = m_now;
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::checkFresh(std::size_t index)
+void ReplicaGroup::checkFreshness(std::size_t index)
 {
     const replication::Replica& replica = *m_nodes[index].replica;
     if (replica.age(m_now) == core::Duration::max())
         return;
-    // The first change that the copy does not have bounds how fresh it can be.
+    // The time of the first change that the copy lacks limits how fresh the copy can be.
     const auto missed = m_changedAt.upper_bound(replica.table().at());
     if (missed != m_changedAt.end())
-        m_overstated = std::max(m_overstated, m_now - replica.age(m_now) - missed->second);
+        m_overstatedFreshness = std::max(m_overstatedFreshness, m_now - replica.age(m_now) - missed->second);
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration ReplicaGroup::overstated() const
+core::Duration ReplicaGroup::overstatedFreshness() const
 {
-    return m_overstated;
+    return m_overstatedFreshness;
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::slowStore(core::Duration most)
+void ReplicaGroup::delayStoreAnswers(core::Duration most)
 {
-    m_storeBack = most;
+    m_maxStoreDelay = most;
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::slowLinks(core::Duration least, core::Duration most)
+void ReplicaGroup::delayLinks(core::Duration least, core::Duration most)
 {
-    m_leastWay = least;
-    m_linkWay = most;
+    m_minLinkDelay = least;
+    m_maxLinkDelay = most;
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::slowSender(std::size_t node)
+void ReplicaGroup::delayOnlyFrom(std::size_t node)
 {
-    m_slowSenders.insert(node);
+    m_delayedSenders.insert(node);
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::deafen(core::Duration time, bool jumps)
+void ReplicaGroup::suppressChanges(core::Duration time, bool namesLatest)
 {
-    m_deafUntil = m_now + time;
-    m_deafJumps = jumps;
+    m_changesSuppressedUntil = m_now + time;
+    m_suppressedNamesLatest = namesLatest;
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::readInPages(core::Duration apart)
+void ReplicaGroup::splitReads(core::Duration apart)
 {
-    m_apart = apart;
+    m_readPartDelay = apart;
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration ReplicaGroup::storeBack()
+core::Duration ReplicaGroup::storeAnswerDelay()
 {
-    if (m_storeBack.count() == 0)
-        return storeWay;
-    return storeWay + core::Duration(m_random.below(static_cast<std::uint64_t>(m_storeBack.count())));
+    if (m_maxStoreDelay.count() == 0)
+        return storeDelay;
+    return storeDelay + core::Duration(m_random.below(static_cast<std::uint64_t>(m_maxStoreDelay.count())));
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::readPages(std::size_t index, std::uint64_t life)
+void ReplicaGroup::readInTwoParts(std::size_t index, std::uint64_t life)
 {
-    // Every second key comes with the second page, which is of a later moment.
-    const auto page = [this](std::size_t rest, std::vector<Item>& items)
+    // Every second key by hash is in the second part, which is read later.
+    const auto readPart = [this](std::size_t remainder, std::vector<Item>& items)
     {
         for (const auto& [key, item] : m_store)
         {
-            if (!item.gone && std::hash<std::string>{}(key) % 2 == rest)
+            if (!item.gone && std::hash<std::string>{}(key) % 2 == remainder)
                 items.push_back(item);
         }
     };
     std::vector<Item> first;
-    page(0, first);
-    at(m_now + m_apart,
-       [this, index, life, page, items = std::move(first), revision = m_revision]() mutable
-       {
-           page(1, items);
-           at(m_now + storeWay, [this, index, life, items, revision, upTo = m_revision]
-              { toNode(index, life, [&] { m_nodes[index].replica->storeRead(items, revision, {}, m_now, upTo); }); });
-       });
+    readPart(0, first);
+    schedule(m_now + m_readPartDelay,
+             [this, index, life, readPart, items = std::move(first), revision = m_revision]() mutable
+             {
+                 readPart(1, items);
+                 schedule(m_now + storeDelay,
+                          [this, index, life, items, revision, upTo = m_revision] {
+                              runOnNode(index, life,
+                                        [&] { m_nodes[index].replica->storeRead(items, revision, {}, m_now, upTo); });
+                          });
+             });
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::checkComplete(std::size_t index)
+void ReplicaGroup::checkCompleteness(std::size_t index)
 {
     const replication::ItemTable& table = m_nodes[index].replica->table();
-    // What the store changes later is newer than the copy; an unchanged one is as complete as it was.
+    // Later changes of the store are newer than the copy, so an unchanged copy is as complete as at the last check.
     const std::pair               checked{table.at(), table.sequence()};
-    if (std::exchange(m_nodes[index].checked, checked) == checked)
+    if (std::exchange(m_nodes[index].lastChecked, checked) == checked)
         return;
     std::map<std::string, std::uint64_t> held;
     for (const Item& item : table.all())
@@ -302,57 +305,58 @@
     {
         const auto next = std::find_if(changes.begin(), changes.end(),
                                        [&](const Item& change) { return change.revision > table.at(); });
-        if (next == changes.begin() || !m_incomplete.empty())
+        if (next == changes.begin() || !m_firstIncompleteCopy.empty())
             continue;
         const Item& last = *std::prev(next);
         const auto  found = held.find(key);
         const bool  lacks = found == held.end() ? !last.gone && next == changes.end() : found->second < last.revision;
         if (lacks)
-            m_incomplete = "node " + std::to_string(index) + " as of " + std::to_string(table.at()) + " has " + key +
-                           " of " + (found == held.end() ? "nothing" : std::to_string(found->second)) +
-                           ", changed at " + std::to_string(last.revision) + (last.gone ? " (removed)" : "");
+            m_firstIncompleteCopy = "node " + std::to_string(index) + " as of " + std::to_string(table.at()) + " has " +
+                                    key + " of " + (found == held.end() ? "nothing" : std::to_string(found->second)) +
+                                    ", changed at " + std::to_string(last.revision) + (last.gone ? " (removed)" : "");
     }
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::remember()
+void ReplicaGroup::recordVersion()
 {
-    m_past.push_back({m_now, m_revision, m_store});
-    while (m_past.size() > 1 && m_past[1].since < m_now - oldest)
-        m_past.pop_front();
+    m_versions.push_back({m_now, m_revision, m_store});
+    while (m_versions.size() > 1 && m_versions[1].since < m_now - maxReadAge)
+        m_versions.pop_front();
 }
 
 ////////////////////////////////////////////////////////////
-ReplicaGroup::Past ReplicaGroup::asOf(core::Timestamp time) const
+ReplicaGroup::StoreVersion ReplicaGroup::versionAt(core::Timestamp time) const
 {
-    const auto after = std::find_if(m_past.begin(), m_past.end(), [&](const Past& past) { return past.since > time; });
-    return after == m_past.begin() ? Past{{}, 1, {}} : *std::prev(after);
+    const auto after = std::find_if(m_versions.begin(), m_versions.end(),
+                                    [&](const StoreVersion& version) { return version.since > time; });
+    return after == m_versions.begin() ? StoreVersion{{}, 1, {}} : *std::prev(after);
 }
 
 ////////////////////////////////////////////////////////////
 void ReplicaGroup::compact()
 {
-    m_compacted = m_revision;
+    m_compactedRevision = m_revision;
     std::erase_if(m_store, [](const auto& item) { return item.second.gone; });
 }
 
 ////////////////////////////////////////////////////////////
 void ReplicaGroup::setStore(StoreMode mode)
 {
-    m_mode = mode;
+    m_storeMode = mode;
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::turnAway(std::size_t node, StoreMode mode)
+void ReplicaGroup::setStoreFor(std::size_t node, StoreMode mode)
 {
-    m_nodes[node].store = mode;
+    m_nodes[node].storeMode = mode;
 }
 
 ////////////////////////////////////////////////////////////
 void ReplicaGroup::serverFailed(std::size_t node, std::uint32_t server)
 {
     m_nodes[node].replica->serverFailed(server, m_now);
-    act(node);
+    performActions(node);
 }
 
 ////////////////////////////////////////////////////////////
@@ -361,25 +365,25 @@
     replication::EndRecord record;
     record.server = server;
     m_nodes[node].replica->serverEnded(record, m_now, m_now);
-    act(node);
+    performActions(node);
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t ReplicaGroup::heardOfEnds(std::size_t node, std::uint32_t server) const
+std::size_t ReplicaGroup::endReports(std::size_t node, std::uint32_t server) const
 {
     const auto found = m_nodes[node].serverEnds.find(server);
     return found == m_nodes[node].serverEnds.end() ? 0 : found->second;
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t ReplicaGroup::heardOfFailures(std::size_t node, std::uint32_t server) const
+std::size_t ReplicaGroup::failureReports(std::size_t node, std::uint32_t server) const
 {
     const auto found = m_nodes[node].failures.find(server);
     return found == m_nodes[node].failures.end() ? 0 : found->second;
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::pass(core::Duration time)
+void ReplicaGroup::advance(core::Duration time)
 {
     const core::Timestamp until = m_now + time;
     while (true)
@@ -388,36 +392,36 @@
         for (const Node& node : m_nodes)
         {
             if (node.replica)
-                next = std::min(next, std::max(node.tickAt, m_now));
+                next = std::min(next, std::max(node.nextTick, m_now));
         }
-        if (!m_queue.empty())
-            next = std::min(next, m_queue.begin()->first);
+        if (!m_events.empty())
+            next = std::min(next, m_events.begin()->first);
         for (const Watch& watch : m_watches)
-            next = std::min(next, std::max(watch.until, m_now));
+            next = std::min(next, std::max(watch.deadline, m_now));
         if (next >= until)
             break;
         m_now = next;
-        while (!m_queue.empty() && m_queue.begin()->first <= m_now)
+        while (!m_events.empty() && m_events.begin()->first <= m_now)
         {
-            const auto work = std::move(m_queue.begin()->second);
-            m_queue.erase(m_queue.begin());
+            const auto work = std::move(m_events.begin()->second);
+            m_events.erase(m_events.begin());
             work();
         }
         answerWatches();
         for (std::size_t index = 0; index < m_nodes.size(); ++index)
         {
             Node& node = m_nodes[index];
-            if (!node.replica || node.tickAt > m_now)
+            if (!node.replica || node.nextTick > m_now)
                 continue;
             node.replica->tick(m_now);
-            act(index);
+            performActions(index);
         }
     }
     m_now = until;
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::act(std::size_t index)
+void ReplicaGroup::performActions(std::size_t index)
 {
     Node& node = m_nodes[index];
     for (auto actions = node.replica->takeActions(); !actions.empty(); actions = node.replica->takeActions())
@@ -425,7 +429,7 @@
         for (const auto& action : actions)
             perform(index, action);
     }
-    for (const replication::ServerReport& report : node.replica->takeNews())
+    for (const replication::ServerReport& report : node.replica->takeServerReports())
     {
         for (const std::uint32_t server : report.servers)
             ++node.failures[server];
@@ -433,72 +437,72 @@
             ++node.serverEnds[end.server];
     }
     const std::vector<Item> changes = node.replica->takeChanges();
-    if (timed() && node.replica->usable(m_now) && !node.usableAt)
+    if (simulatesLoad() && node.replica->usable(m_now) && !node.usableAt)
     {
         double bytes = 0;
         for (const auto& item : changes)
             bytes += static_cast<double>(item.value.size());
-        work(index, bytes * applyMsPerByte);
-        node.usableAt = node.busy;
+        useProcessor(index, bytes * applyMsPerByte);
+        node.usableAt = node.busyUntil;
     }
     for (const Item& item : changes)
     {
-        std::uint64_t& seen = node.seen[item.key];
-        m_wentBack = m_wentBack || item.revision < seen;
+        std::uint64_t& seen = node.seenRevisions[item.key];
+        m_revisionWentBack = m_revisionWentBack || item.revision < seen;
         seen = item.revision;
     }
-    node.tickAt = node.replica->nextDue();
-    if (m_incomplete.empty())
-        checkComplete(index);
-    checkFresh(index);
+    node.nextTick = node.replica->nextDue();
+    if (m_firstIncompleteCopy.empty())
+        checkCompleteness(index);
+    checkFreshness(index);
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::at(core::Timestamp time, std::function<void()> work)
+void ReplicaGroup::schedule(core::Timestamp time, std::function<void()> work)
 {
-    m_queue.emplace(time, std::move(work));
+    m_events.emplace(time, std::move(work));
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::toNode(std::size_t index, std::uint64_t life, const std::function<void()>& work)
+void ReplicaGroup::runOnNode(std::size_t index, std::uint64_t life, const std::function<void()>& work)
 {
     Node& node = m_nodes[index];
     if (!node.replica || node.life != life)
         return;
     work();
-    act(index);
+    performActions(index);
 }
 
 ////////////////////////////////////////////////////////////
-bool ReplicaGroup::reach(std::size_t from, std::size_t to) const
+bool ReplicaGroup::reachable(std::size_t from, std::size_t to) const
 {
-    return !m_nodes[from].cutPeers && !m_nodes[to].cutPeers;
+    return !m_nodes[from].isolatedFromPeers && !m_nodes[to].isolatedFromPeers;
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::storeCall(std::size_t index, std::function<void()> work)
+void ReplicaGroup::callStore(std::size_t index, std::function<void()> work)
 {
-    ++m_calls;
-    ++m_nodes[index].calls;
+    ++m_storeCalls;
+    ++m_nodes[index].storeCalls;
     const std::uint64_t life = m_nodes[index].life;
-    at(m_now + storeWay,
-       [this, index, life, work = std::move(work)]
-       {
-           Node&      node = m_nodes[index];
-           const auto mode = m_mode == StoreMode::Well ? node.store : m_mode;
-           if (node.cutStore || mode == StoreMode::Silent)
-               return at(m_now + callPatience, [this, index, life]
-                         { toNode(index, life, [&] { m_nodes[index].replica->storeFailed(m_now); }); });
-           if (mode == StoreMode::Refuse)
-               return at(m_now + storeWay, [this, index, life]
-                         { toNode(index, life, [&] { m_nodes[index].replica->storeFailed(m_now); }); });
-           if (node.life == life && node.replica)
-               work();
-       });
+    schedule(m_now + storeDelay,
+             [this, index, life, work = std::move(work)]
+             {
+                 Node&      node = m_nodes[index];
+                 const auto mode = m_storeMode == StoreMode::Available ? node.storeMode : m_storeMode;
+                 if (node.isolatedFromStore || mode == StoreMode::Silent)
+                     return schedule(m_now + storeCallTimeout, [this, index, life]
+                                     { runOnNode(index, life, [&] { m_nodes[index].replica->storeFailed(m_now); }); });
+                 if (mode == StoreMode::Unavailable)
+                     return schedule(m_now + storeDelay, [this, index, life]
+                                     { runOnNode(index, life, [&] { m_nodes[index].replica->storeFailed(m_now); }); });
+                 if (node.life == life && node.replica)
+                     work();
+             });
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<Item> ReplicaGroup::since(std::uint64_t revision) const
+std::vector<Item> ReplicaGroup::changesSince(std::uint64_t revision) const
 {
     std::vector<Item> items;
     if (revision >= m_revision)
@@ -518,48 +522,49 @@
     for (const Watch& watch : std::exchange(m_watches, {}))
     {
         const Node& node = m_nodes[watch.node];
-        const auto  mode = m_mode == StoreMode::Well ? node.store : m_mode;
+        const auto  mode = m_storeMode == StoreMode::Available ? node.storeMode : m_storeMode;
         const auto  life = watch.life;
         const auto  index = watch.node;
-        if (node.cutStore || mode != StoreMode::Well)
+        if (node.isolatedFromStore || mode != StoreMode::Available)
         {
-            at(m_now + callPatience,
-               [this, index, life] { toNode(index, life, [&] { m_nodes[index].replica->storeFailed(m_now); }); });
+            schedule(m_now + storeCallTimeout, [this, index, life]
+                     { runOnNode(index, life, [&] { m_nodes[index].replica->storeFailed(m_now); }); });
             continue;
         }
-        if (watch.after < m_compacted)
+        if (watch.after < m_compactedRevision)
         {
-            at(m_now + storeWay,
-               [this, index, life] { toNode(index, life, [&] { m_nodes[index].replica->historyLost(m_now); }); });
+            schedule(m_now + storeDelay, [this, index, life]
+                     { runOnNode(index, life, [&] { m_nodes[index].replica->historyLost(m_now); }); });
             continue;
         }
-        const bool deaf = m_now < m_deafUntil;
-        auto       items = deaf ? std::vector<Item>{} : since(watch.after);
-        if (items.empty() && m_now < watch.until)
+        const bool suppressed = m_now < m_changesSuppressedUntil;
+        auto       items = suppressed ? std::vector<Item>{} : changesSince(watch.after);
+        if (items.empty() && m_now < watch.deadline)
         {
             left.push_back(watch);
             continue;
         }
-        at(m_now + storeBack(),
-           [this, index, life, items = std::move(items), revision = deaf && !m_deafJumps ? watch.after : m_revision]
-           { toNode(index, life, [&] { m_nodes[index].replica->storeChanged(items, revision, m_now); }); });
+        schedule(m_now + storeAnswerDelay(),
+                 [this, index, life, items = std::move(items),
+                  revision = suppressed && !m_suppressedNamesLatest ? watch.after : m_revision]
+                 { runOnNode(index, life, [&] { m_nodes[index].replica->storeChanged(items, revision, m_now); }); });
     }
     for (Watch& watch : left)
         m_watches.push_back(watch);
 }
 
 ////////////////////////////////////////////////////////////
-void ReplicaGroup::breakLink(std::size_t index, LinkId link)
+void ReplicaGroup::closeLink(std::size_t index, LinkId link)
 {
-    m_nodes[index].ends.erase(link);
+    m_nodes[index].linkEnds.erase(link);
     const std::uint64_t life = m_nodes[index].life;
-    at(m_now + storeWay,
-       [this, index, link, life] { toNode(index, life, [&] { m_nodes[index].replica->linkClosed(link, m_now); }); });
+    schedule(m_now + storeDelay, [this, index, link, life]
+             { runOnNode(index, life, [&] { m_nodes[index].replica->linkClosed(link, m_now); }); });
 }
 
 ////////////////////////////////////////////////////////////
-core::Timestamp ReplicaGroup::sendTimed(std::size_t from, std::size_t to, const replication::SendUpdate* update,
-                                        double& cost)
+core::Timestamp ReplicaGroup::sendThroughLinks(std::size_t from, std::size_t to, const replication::SendUpdate* update,
+                                               double& cost)
 {
     const auto sizeOf = [](const std::vector<Item>& items)
     {
@@ -570,154 +575,158 @@
     };
     Node&  sender = m_nodes[from];
     double bytes = messageBytes;
-    cost = messageMs;
+    cost = messageCoreMs;
     if (update != nullptr)
     {
         const auto&  whole = update->update.whole;
         const double items = sizeOf(update->update.items) + (whole ? sizeOf(*whole) : 0);
         bytes += items * packedShare + static_cast<double>(update->update.nodes.size()) * nodeBytes;
-        // A whole copy is packed once for all who need it.
-        if (whole == nullptr || whole != sender.packed)
-            work(from, items * packMsPerByte);
-        sender.packed = whole ? whole : sender.packed;
+        // A whole copy is packed once for all followers that need it.
+        if (whole == nullptr || whole != sender.packedCopy)
+            useProcessor(from, items * packMsPerByte);
+        sender.packedCopy = whole ? whole : sender.packedCopy;
         cost += items * unpackMsPerByte;
     }
-    work(from, messageMs);
-    // The message leaves once it is written.
-    sender.up.free = std::max(sender.up.free, sender.busy);
-    return carry(sender.up, m_nodes[to].down, bytes);
+    useProcessor(from, messageCoreMs);
+    // The message leaves once the processor has written it.
+    sender.uplink.freeAt = std::max(sender.uplink.freeAt, sender.busyUntil);
+    return transfer(sender.uplink, m_nodes[to].downlink, bytes);
 }
 
 ////////////////////////////////////////////////////////////
 void ReplicaGroup::perform(std::size_t index, const replication::ReplicaAction& action)
 {
     const std::uint64_t  life = m_nodes[index].life;
-    const core::Duration way = 1ms + core::Duration(m_random.below(2000));
+    const core::Duration delay = 1ms + core::Duration(m_random.below(2000));
     if (const auto* read = std::get_if<replication::ReadStore>(&action))
     {
-        std::optional<core::Timestamp> asked;
+        std::optional<core::Timestamp> asOf;
         core::Duration                 lag{};
-        if (read->how == replication::Reading::Latest)
-            asked = m_now;
+        if (read->freshness == replication::Reading::Latest)
+            asOf = m_now;
         else
-            lag = core::Duration(m_random.below(static_cast<std::uint64_t>(oldest.count())));
-        m_oldReads += asked ? 0 : 1;
-        const std::uint64_t givenUp = m_nodes[index].givenUp;
-        storeCall(index,
-                  [this, index, life, asked, lag, givenUp]
-                  {
-                      if (m_nodes[index].givenUp != givenUp)
-                          return;
-                      if (asked && m_apart.count() > 0)
-                          return readPages(index, life);
-                      const Past        past = asked ? Past{m_now, m_revision, m_store} : asOf(m_now - lag);
-                      std::vector<Item> items;
-                      std::uint64_t     newest = 0;
-                      for (const auto& [key, item] : past.items)
-                      {
-                          if (item.gone)
-                              continue;
-                          items.push_back(item);
-                          newest = std::max(newest, item.revision);
-                      }
-                      // Of a reading that may be old only the latest revision among its items is known.
-                      const std::uint64_t   revision = asked ? past.revision : newest;
-                      const double          bytes = timed() ? storeBytes() : 0;
-                      const core::Timestamp come = timed() ? carry(m_storeLink, m_nodes[index].down, bytes) : m_now;
-                      if (timed())
-                          m_nodes[index].reading = core::fromMilliseconds(bytes / m_storeLink.perMs);
-                      deliver(index, life, come + storeBack(), bytes * parseMsPerByte,
-                              [this, index, asked, items, revision, upTo = past.revision, givenUp]
-                              {
-                                  if (m_nodes[index].givenUp == givenUp)
-                                      m_nodes[index].replica->storeRead(items, revision, asked, m_now, upTo);
-                              });
-                  });
+            lag = core::Duration(m_random.below(static_cast<std::uint64_t>(maxReadAge.count())));
+        m_staleReads += asOf ? 0 : 1;
+        const std::uint64_t cancelledCalls = m_nodes[index].cancelledCalls;
+        callStore(
+            index,
+            [this, index, life, asOf, lag, cancelledCalls]
+            {
+                if (m_nodes[index].cancelledCalls != cancelledCalls)
+                    return;
+                if (asOf && m_readPartDelay.count() > 0)
+                    return readInTwoParts(index, life);
+                const StoreVersion version = asOf ? StoreVersion{m_now, m_revision, m_store} : versionAt(m_now - lag);
+                std::vector<Item>  items;
+                std::uint64_t      newest = 0;
+                for (const auto& [key, item] : version.items)
+                {
+                    if (item.gone)
+                        continue;
+                    items.push_back(item);
+                    newest = std::max(newest, item.revision);
+                }
+                // Of a reading that accepts old items, only the latest revision among the items is known.
+                const std::uint64_t   revision = asOf ? version.revision : newest;
+                const double          bytes = simulatesLoad() ? storeReadBytes() : 0;
+                const core::Timestamp arrival =
+                    simulatesLoad() ? transfer(m_storeLink, m_nodes[index].downlink, bytes) : m_now;
+                if (simulatesLoad())
+                    m_nodes[index].readTransferTime = core::fromMilliseconds(bytes / m_storeLink.bytesPerMs);
+                deliver(index, life, arrival + storeAnswerDelay(), bytes * parseMsPerByte,
+                        [this, index, asOf, items, revision, upTo = version.revision, cancelledCalls]
+                        {
+                            if (m_nodes[index].cancelledCalls == cancelledCalls)
+                                m_nodes[index].replica->storeRead(items, revision, asOf, m_now, upTo);
+                        });
+            });
     }
     else if (const auto* watch = std::get_if<replication::WatchStore>(&action))
     {
-        storeCall(index,
+        callStore(index,
                   [this, index, life, after = watch->after, wait = watch->wait]
                   {
                       m_watches.push_back({index, life, after, m_now + wait});
                       answerWatches();
                   });
     }
-    else if (std::get_if<replication::GiveUpStore>(&action) != nullptr)
+    else if (std::get_if<replication::CancelStoreCall>(&action) != nullptr)
     {
         Node& node = m_nodes[index];
-        ++node.givenUp;
-        // What was not sent yet leaves the links to others.
-        m_storeLink.free = std::max(m_now, m_storeLink.free - node.reading);
-        node.reading = {};
-        node.down.free = m_now;
+        ++node.cancelledCalls;
+        // The unsent part of the reading no longer occupies the links.
+        m_storeLink.freeAt = std::max(m_now, m_storeLink.freeAt - node.readTransferTime);
+        node.readTransferTime = {};
+        node.downlink.freeAt = m_now;
     }
     else if (const auto* open = std::get_if<replication::OpenLink>(&action))
     {
-        at(m_now + way,
-           [this, index, life, link = open->link, address = open->address]
-           {
-               std::size_t far = 0;
-               while (far < m_nodes.size() && addressOf(far) != address)
-                   ++far;
-               Node& node = m_nodes[index];
-               if (!node.replica || node.life != life || far == m_nodes.size() || !reach(index, far))
-                   return;
-               if (!m_nodes[far].replica)
-                   return breakLink(index, link);
-               const LinkId accepted = m_nextAccepted;
-               m_nextAccepted += 2;
-               node.ends[link] = {far, accepted};
-               m_nodes[far].ends[accepted] = {index, link};
-               toNode(index, life, [&] { node.replica->linkOpened(link, m_now); });
-           });
+        schedule(m_now + delay,
+                 [this, index, life, link = open->link, address = open->address]
+                 {
+                     std::size_t far = 0;
+                     while (far < m_nodes.size() && addressOf(far) != address)
+                         ++far;
+                     Node& node = m_nodes[index];
+                     if (!node.replica || node.life != life || far == m_nodes.size() || !reachable(index, far))
+                         return;
+                     if (!m_nodes[far].replica)
+                         return closeLink(index, link);
+                     const LinkId accepted = m_nextAcceptedLink;
+                     m_nextAcceptedLink += 2;
+                     node.linkEnds[link] = {far, accepted};
+                     m_nodes[far].linkEnds[accepted] = {index, link};
+                     runOnNode(index, life, [&] { node.replica->linkOpened(link, m_now); });
+                 });
     }
     else if (const auto* close = std::get_if<replication::CloseLink>(&action))
     {
-        const auto end = m_nodes[index].ends.find(close->link);
-        if (end == m_nodes[index].ends.end())
+        const auto end = m_nodes[index].linkEnds.find(close->link);
+        if (end == m_nodes[index].linkEnds.end())
             return;
         const auto far = end->second;
-        m_nodes[index].ends.erase(end);
-        if (reach(index, far.first))
-            breakLink(far.first, far.second);
+        m_nodes[index].linkEnds.erase(end);
+        if (reachable(index, far.first))
+            closeLink(far.first, far.second);
     }
-    else if (std::get_if<replication::Note>(&action) == nullptr)
+    else if (std::get_if<replication::LogEvent>(&action) == nullptr)
     {
         const auto* hello = std::get_if<replication::SendHello>(&action);
         const auto* update = std::get_if<replication::SendUpdate>(&action);
         const auto* report = std::get_if<replication::SendReport>(&action);
         const auto  linkId = hello != nullptr ? hello->link : report != nullptr ? report->link : update->link;
-        const auto  end = m_nodes[index].ends.find(linkId);
-        if (end == m_nodes[index].ends.end())
+        const auto  end = m_nodes[index].linkEnds.find(linkId);
+        if (end == m_nodes[index].linkEnds.end())
             return;
         const auto far = end->second;
         if (update != nullptr && index % m_dataCentres != far.first % m_dataCentres)
-            m_itemsAcross += update->update.whole ? update->update.whole->size() : update->update.items.size();
+            m_itemsAcrossDataCentres +=
+                update->update.whole ? update->update.whole->size() : update->update.items.size();
         const std::uint64_t farLife = m_nodes[far.first].life;
         const auto          message = action;
-        core::Timestamp     arrives = m_now + way;
-        if (m_linkWay.count() > 0 && (m_slowSenders.empty() || m_slowSenders.count(index) > 0))
+        core::Timestamp     arrives = m_now + delay;
+        if (m_maxLinkDelay.count() > 0 && (m_delayedSenders.empty() || m_delayedSenders.count(index) > 0))
         {
-            core::Timestamp& last = m_lastOn[far];
-            arrives = m_now + m_leastWay +
-                      core::Duration(m_random.below(1 + static_cast<std::uint64_t>((m_linkWay - m_leastWay).count())));
+            core::Timestamp& last = m_lastArrival[far];
+            arrives = m_now + m_minLinkDelay +
+                      core::Duration(
+                          m_random.below(1 + static_cast<std::uint64_t>((m_maxLinkDelay - m_minLinkDelay).count())));
             arrives = std::max(arrives, last + 1ms);
             last = arrives;
         }
         double cost = 0;
-        if (timed())
-            arrives = sendTimed(index, far.first, update, cost) + way;
+        if (simulatesLoad())
+            arrives = sendThroughLinks(index, far.first, update, cost) + delay;
         deliver(far.first, farLife, arrives, cost,
                 [this, index, far, message]
                 {
-                    if (!reach(index, far.first))
+                    if (!reachable(index, far.first))
                         return;
                     auto& replica = *m_nodes[far.first].replica;
-                    if (const auto* said = std::get_if<replication::SendHello>(&message))
-                        replica.helloReceived(far.second, said->hello, m_now);
-                    else if (const auto* told = std::get_if<replication::SendReport>(&message))
-                        replica.reportReceived(far.second, told->report, m_now);
+                    if (const auto* sentHello = std::get_if<replication::SendHello>(&message))
+                        replica.helloReceived(far.second, sentHello->hello, m_now);
+                    else if (const auto* sentReport = std::get_if<replication::SendReport>(&message))
+                        replica.reportReceived(far.second, sentReport->report, m_now);
                     else
                         replica.updateReceived(far.second, std::get<replication::SendUpdate>(message).update, m_now);
                 });
@@ -748,53 +757,54 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::string ReplicaGroup::value(const std::string& key) const
+std::string ReplicaGroup::storeValue(const std::string& key) const
 {
     const auto found = m_store.find(key);
     return found == m_store.end() ? std::string() : found->second.value;
 }
 
 ////////////////////////////////////////////////////////////
-std::uint64_t ReplicaGroup::calls() const
+std::uint64_t ReplicaGroup::storeCalls() const
 {
-    return m_calls;
+    return m_storeCalls;
 }
 
 ////////////////////////////////////////////////////////////
-std::uint64_t ReplicaGroup::callsOf(std::size_t node) const
+std::uint64_t ReplicaGroup::storeCallsOf(std::size_t node) const
 {
-    return m_nodes[node].calls;
+    return m_nodes[node].storeCalls;
 }
 
 ////////////////////////////////////////////////////////////
-std::uint64_t ReplicaGroup::oldReads() const
+std::uint64_t ReplicaGroup::staleReads() const
 {
-    return m_oldReads;
+    return m_staleReads;
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t ReplicaGroup::watchers() const
+std::size_t ReplicaGroup::watcherCount() const
 {
-    return static_cast<std::size_t>(std::count_if(
-        m_nodes.begin(), m_nodes.end(), [](const Node& node) { return node.replica && node.replica->watching(); }));
+    return static_cast<std::size_t>(std::count_if(m_nodes.begin(), m_nodes.end(),
+                                                  [](const Node& node)
+                                                  { return node.replica && node.replica->storeCallPending(); }));
 }
 
 ////////////////////////////////////////////////////////////
-std::uint64_t ReplicaGroup::itemsAcross() const
+std::uint64_t ReplicaGroup::itemsAcrossDataCentres() const
 {
-    return m_itemsAcross;
+    return m_itemsAcrossDataCentres;
 }
 
 ////////////////////////////////////////////////////////////
-bool ReplicaGroup::wentBack() const
+bool ReplicaGroup::revisionWentBack() const
 {
-    return m_wentBack;
+    return m_revisionWentBack;
 }
 
 ////////////////////////////////////////////////////////////
-std::string ReplicaGroup::incomplete() const
+std::string ReplicaGroup::firstIncompleteCopy() const
 {
-    return m_incomplete;
+    return m_firstIncompleteCopy;
 }
 
 ////////////////////////////////////////////////////////////
