--- a/include/sailpath/replication/Replica.hpp
+++ b/include/sailpath/replication/Replica.hpp
@@ -204,7 +204,7 @@
         core::Timestamp sentProvedAt{};       //!< Value of `m_provedAt` in the last update
         core::Timestamp nextNodeList{};       //!< When the list of nodes is sent next
         core::Timestamp newNodesNotBefore{};  //!< Earliest time to send the list because of many new nodes
-        std::uint64_t   sentReports{0};       //!< Count of server reports up to which it needs none
+        std::uint64_t   sentReports{0};       //!< Server reports up to this count need not be sent
         bool            limitsSent{false};    //!< The limits in force were sent
         std::size_t     sentNodeCount{0};     //!< Nodes known when the list was sent last
     };
@@ -214,12 +214,12 @@
         std::string                   address;               //!< Address of the relay
         bool                          open{false};           //!< The link is open
         core::Timestamp               startedAt{};           //!< When the link was requested
-        core::Timestamp               lastReceivedAt{};      //!< When data was received last, or the link opened
+        core::Timestamp               lastReceivedAt{};      //!< Last arrival of data, or when the link opened
         bool                          receivedUpdate{false}; //!< The relay has sent an update with items
         core::Timestamp               helloSentAt{};         //!< When the hello was sent
         core::Duration                roundTrip{};           //!< From the hello to the first update
-        std::uint64_t                 sentReports{0};        //!< Count of server reports up to which it needs none
-        std::optional<core::Duration> firstClockOffset; //!< Difference of the clocks plus transit time, first update
+        std::uint64_t                 sentReports{0};        //!< Server reports up to this count need not be sent
+        std::optional<core::Duration> firstClockOffset;      //!< Clock difference plus transit time of the first update
     };
 
     struct KnownNode
@@ -319,7 +319,7 @@
     core::Duration                           m_watchTimeout{};       //!< Longest wait of that watch call
     core::Timestamp                          m_nextFollowerReport{}; //!< When followers are reported to relays next
     core::Timestamp                          m_proveAt{};            //!< When this node asks the store for a proof
-    unsigned                                 m_relaysWithoutCopy{0}; //!< Updates without a copy, and links that ended
+    unsigned                                 m_relaysWithoutCopy{0}; //!< Counts updates without a copy and lost links
     bool                                     m_isWatcher{false};     //!< This node ranks among the watchers
     std::vector<std::string>                 m_wantedUpstreams;      //!< Addresses of the relays to follow
     core::Timestamp                          m_nextRanking{};        //!< When the relays are ranked next
@@ -327,7 +327,7 @@
     unsigned                                 m_storeFailures{0};     //!< Consecutive failed calls of the store
     core::Timestamp m_provedAt{core::Timestamp::min()};              //!< Time as of which the copy was proved current
     core::Timestamp m_relayFreshAt{core::Timestamp::min()};  //!< When a relay last sent a copy that was not stale
-    core::Timestamp m_storeFailedAt{core::Timestamp::min()}; //!< When a store call of any node known to this one failed
+    core::Timestamp m_storeFailedAt{core::Timestamp::min()}; //!< Last failed store call, here or at a relay
     std::optional<core::Timestamp> m_lastContactAt;          //!< Last answer of the store, or sending time of an update
     core::Timestamp                m_now{};                  //!< Time of the last `tick`
 };
--- a/src/sailpath/replication/MemberList.cpp
+++ b/src/sailpath/replication/MemberList.cpp
@@ -8,7 +8,8 @@
 {
 namespace
 {
-// Longer than nodes are usually cut off from each other; members that are gone do little harm to what is divided by rank.
+// Longer than nodes are usually cut off from each other; a few members that are gone hardly affect what is
+// chosen among members.
 constexpr auto memberTtl = std::chrono::seconds{60};
 
 } // namespace
--- a/src/sailpath/replication/Replica.cpp
+++ b/src/sailpath/replication/Replica.cpp
@@ -252,9 +252,9 @@
     if (!hasCopy())
     {
         const std::vector<std::string> wanted = m_firstCopy.upstreams(now);
+        // If another seed connected first, one hello is enough: each seed introduces all nodes.
         if (std::find(wanted.begin(), wanted.end(), found->second.address) == wanted.end())
-            return dropUpstream(
-                link); // Another seed connected first, and one hello is enough: each seed introduces all nodes.
+            return dropUpstream(link);
         m_firstCopy.reached(found->second.address, now);
     }
     found->second.lastReceivedAt = now;
--- a/src/sailpath/replication/ReplicaUpdates.cpp
+++ b/src/sailpath/replication/ReplicaUpdates.cpp
@@ -82,7 +82,7 @@
     auto large = unpackLargeItems(update);
     if (update.after > m_table.at() || !large)
     {
-        // The changes in between, or the base of a packed value, are missing here: connect again.
+        // The changes in between, or the base of a packed value, are missing here: the link is opened anew.
         if (!large)
             m_fullCopyFrom.insert(upstream->second.address);
         m_actions.push_back(LogEvent{"update-missed", upstream->second.address, static_cast<double>(update.after)});
@@ -160,7 +160,8 @@
 ////////////////////////////////////////////////////////////
 void Replica::sendServerReports(core::Timestamp now)
 {
-    // One relay is enough: it passes reports on to its own relay, and from the first relays they return to all nodes.
+    // One relay is enough: the relay passes the reports on to its own relay, and the highest ranked relays send them
+    // to all nodes.
     const auto relay = std::find_if(m_upstreams.begin(), m_upstreams.end(),
                                     [](const auto& item) { return item.second.open && item.second.receivedUpdate; });
     if (relay == m_upstreams.end() || relay->second.sentReports == m_news.end())
@@ -280,7 +281,7 @@
             follower.nextUpdateAt = std::min(follower.nextUpdateAt, follower.lastSentAt + m_settings.batchDelay);
         if (!sendItems && follower.needsFullCopy && relayNamesHash(follower) != follower.sentNamesHash)
         {
-            // A follower without relay names waits for them; one with names needs others only if those relays are silent.
+            // A follower without relay names waits for some; other names help only when those relays are silent.
             const bool named = follower.sentNamesHash != 0;
             follower.nextUpdateAt = std::min(
                 follower.nextUpdateAt, follower.lastSentAt + (named ? relayNamesInterval : m_settings.batchDelay));
--- a/test/replication/FleetStart.test.cpp
+++ b/test/replication/FleetStart.test.cpp
@@ -102,7 +102,7 @@
 
 BOOST_AUTO_TEST_CASE(WeakSeedsAreStillFasterThanReadsByAllNodes)
 {
-    // Each of 473 hellos takes a tenth of a processor one millisecond; with reads by all nodes the start took over 2.5 s.
+    // Each of 473 hellos takes a tenth of a processor one millisecond; reads by all nodes took over 2.5 s.
     ReplicaGroup group(machines(fleet, false), storeLink, 2, dataCentres);
     fillStore(group, 350);
     startAll(group, fleet, 8);
--- a/test/support/ReplicaGroup.hpp
+++ b/test/support/ReplicaGroup.hpp
@@ -81,7 +81,7 @@
     [[nodiscard]] std::string
     firstIncompleteCopy() const; //!< Describes the first copy that lacked a change before its `at`; empty if none did
     [[nodiscard]] core::Timestamp now() const;
-    [[nodiscard]] core::Duration  overstatedFreshness() const; //!< Largest error by which a copy claimed to be fresher
+    [[nodiscard]] core::Duration overstatedFreshness() const; //!< Largest time by which a copy was older than it stated
     [[nodiscard]] std::vector<core::Duration>
     timesToUsable() const; //!< Start to usable copy, of the running nodes that have one, sorted
 
@@ -183,7 +183,7 @@
     std::string                                           m_firstIncompleteCopy; //!< Description; empty if none
     std::map<std::uint64_t, core::Timestamp>              m_changedAt;           //!< Time of each revision
     core::Duration                                        m_overstatedFreshness{};
-    core::Duration                                        m_maxStoreDelay{}; //!< Random delay of an answer is less
+    core::Duration                                        m_maxStoreDelay{}; //!< Bound of the random delay of answers
     core::Duration                                        m_minLinkDelay{};
     core::Duration                                        m_maxLinkDelay{};  //!< 0 for the usual 1 to 3 ms
     core::Duration                                        m_readPartDelay{}; //!< Between the parts of a reading
