--- a/include/sailpath/replication/Replica.hpp
+++ b/include/sailpath/replication/Replica.hpp
@@ -141,9 +141,17 @@
     ////////////////////////////////////////////////////////////
     void storeRead(std::span<const Item> items, std::uint64_t at, std::optional<core::Timestamp> asOf,
                    core::Timestamp now, std::uint64_t upTo = std::numeric_limits<std::uint64_t>::max());
+
+    ////////////////////////////////////////////////////////////
+    /// \brief Handle the answer to `WatchStore`
+    ///
+    /// \param items Changes after the revision of the call; empty when the wait ended without one
+    /// \param at    Revision that the store names
+    /// \param now   Current time
+    ////////////////////////////////////////////////////////////
     void storeChanged(std::span<const Item> items, std::uint64_t at, core::Timestamp now);
-    void historyLost(core::Timestamp now);
-    void storeFailed(core::Timestamp now);
+    void historyLost(core::Timestamp now); //!< Handle a `WatchStore` after whose revision the store has dropped changes
+    void storeFailed(core::Timestamp now); //!< Handle a call of the store that was refused or timed out
 
     void linkOpened(LinkId link, core::Timestamp now);       //!< Handle the success of an `OpenLink`
     void linkDataReceived(LinkId link, core::Timestamp now); //!< Handle the arrival of a part of an update
@@ -181,7 +189,7 @@
     [[nodiscard]] bool     storeCallPending() const;             //!< Whether a call of the store is in progress
 
     ////////////////////////////////////////////////////////////
-    /// \brief Short hashes of the addresses of all nodes heard from in the last minute, this one included, sorted
+    /// \brief List the short hashes of the addresses of all nodes heard from in the last minute and of this one, sorted
     ///
     /// \return Empty while this node knows no other node although it has other seeds: more members may exist
     ////////////////////////////////////////////////////////////
--- a/test/replication/FleetStart.test.cpp
+++ b/test/replication/FleetStart.test.cpp
@@ -62,7 +62,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief Time from start to a usable copy that this share of the nodes does not exceed; 1e9 ms if fewer are usable
+/// \brief Get the time from start to usable within which this share of the nodes stays; 1e9 ms if fewer are usable
 ////////////////////////////////////////////////////////////
 double timeToUsableMs(const ReplicaGroup& group, double share, std::size_t nodeCount)
 {
--- a/test/replication/Replica.test.cpp
+++ b/test/replication/Replica.test.cpp
@@ -151,19 +151,19 @@
         ReplicaGroup group(large, seed);
         group.write("config", "1");
         group.advance(30s);
-        std::size_t lost = 0;
+        std::size_t isolatedCount = 0;
         for (std::size_t node = 0; node < large; ++node)
         {
             const bool relay = group.replica(node).storeCallPending() || group.replica(node).followerCount() > 3;
             if (!relay || (seed % 2 == 0 && !group.replica(node).storeCallPending()))
                 continue;
             group.isolate(node, true, true);
-            ++lost;
+            ++isolatedCount;
         }
-        BOOST_TEST(lost >= 2U);
+        BOOST_TEST(isolatedCount >= 2U);
         group.write("config", "2");
         group.advance(1900ms);
-        BOOST_TEST(nodesWithoutLatest(group, "config", large) <= lost, "seed " << seed);
+        BOOST_TEST(nodesWithoutLatest(group, "config", large) <= isolatedCount, "seed " << seed);
     }
 }
 
--- a/test/support/ReplicaGroup.cpp
+++ b/test/support/ReplicaGroup.cpp
@@ -158,12 +158,12 @@
     node.replica.reset();
     ++node.life;
     const auto ends = std::exchange(node.linkEnds, {});
-    for (const auto& [link, far] : ends)
+    for (const auto& [link, farEnd] : ends)
     {
-        if (reachable(index, far.first))
-            closeLink(far.first, far.second);
+        if (reachable(index, farEnd.first))
+            closeLink(farEnd.first, farEnd.second);
         else
-            m_nodes[far.first].linkEnds.erase(far.second);
+            m_nodes[farEnd.first].linkEnds.erase(farEnd.second);
     }
     std::erase_if(m_watches, [index](const Watch& watch) { return watch.node == index; });
 }
@@ -664,18 +664,18 @@
         schedule(m_now + delay,
                  [this, index, life, link = open->link, address = open->address]
                  {
-                     std::size_t far = 0;
-                     while (far < m_nodes.size() && addressOf(far) != address)
-                         ++far;
+                     std::size_t farNode = 0;
+                     while (farNode < m_nodes.size() && addressOf(farNode) != address)
+                         ++farNode;
                      Node& node = m_nodes[index];
-                     if (!node.replica || node.life != life || far == m_nodes.size() || !reachable(index, far))
+                     if (!node.replica || node.life != life || farNode == m_nodes.size() || !reachable(index, farNode))
                          return;
-                     if (!m_nodes[far].replica)
+                     if (!m_nodes[farNode].replica)
                          return closeLink(index, link);
                      const LinkId accepted = m_nextAcceptedLink;
                      m_nextAcceptedLink += 2;
-                     node.linkEnds[link] = {far, accepted};
-                     m_nodes[far].linkEnds[accepted] = {index, link};
+                     node.linkEnds[link] = {farNode, accepted};
+                     m_nodes[farNode].linkEnds[accepted] = {index, link};
                      runOnNode(index, life, [&] { node.replica->linkOpened(link, m_now); });
                  });
     }
@@ -684,10 +684,10 @@
         const auto end = m_nodes[index].linkEnds.find(close->link);
         if (end == m_nodes[index].linkEnds.end())
             return;
-        const auto far = end->second;
+        const auto farEnd = end->second;
         m_nodes[index].linkEnds.erase(end);
-        if (reachable(index, far.first))
-            closeLink(far.first, far.second);
+        if (reachable(index, farEnd.first))
+            closeLink(farEnd.first, farEnd.second);
     }
     else if (std::get_if<replication::LogEvent>(&action) == nullptr)
     {
@@ -698,16 +698,16 @@
         const auto  end = m_nodes[index].linkEnds.find(linkId);
         if (end == m_nodes[index].linkEnds.end())
             return;
-        const auto far = end->second;
-        if (update != nullptr && index % m_dataCentres != far.first % m_dataCentres)
+        const auto farEnd = end->second;
+        if (update != nullptr && index % m_dataCentres != farEnd.first % m_dataCentres)
             m_itemsAcrossDataCentres +=
                 update->update.whole ? update->update.whole->size() : update->update.items.size();
-        const std::uint64_t farLife = m_nodes[far.first].life;
+        const std::uint64_t receiverLife = m_nodes[farEnd.first].life;
         const auto          message = action;
         core::Timestamp     arrives = m_now + delay;
         if (m_maxLinkDelay.count() > 0 && (m_delayedSenders.empty() || m_delayedSenders.count(index) > 0))
         {
-            core::Timestamp& last = m_lastArrival[far];
+            core::Timestamp& last = m_lastArrival[farEnd];
             arrives = m_now + m_minLinkDelay +
                       core::Duration(
                           m_random.below(1 + static_cast<std::uint64_t>((m_maxLinkDelay - m_minLinkDelay).count())));
@@ -716,19 +716,19 @@
         }
         double cost = 0;
         if (simulatesLoad())
-            arrives = sendThroughLinks(index, far.first, update, cost) + delay;
-        deliver(far.first, farLife, arrives, cost,
-                [this, index, far, message]
+            arrives = sendThroughLinks(index, farEnd.first, update, cost) + delay;
+        deliver(farEnd.first, receiverLife, arrives, cost,
+                [this, index, farEnd, message]
                 {
-                    if (!reachable(index, far.first))
+                    if (!reachable(index, farEnd.first))
                         return;
-                    auto& replica = *m_nodes[far.first].replica;
+                    auto& replica = *m_nodes[farEnd.first].replica;
                     if (const auto* sentHello = std::get_if<replication::SendHello>(&message))
-                        replica.helloReceived(far.second, sentHello->hello, m_now);
+                        replica.helloReceived(farEnd.second, sentHello->hello, m_now);
                     else if (const auto* sentReport = std::get_if<replication::SendReport>(&message))
-                        replica.reportReceived(far.second, sentReport->report, m_now);
+                        replica.reportReceived(farEnd.second, sentReport->report, m_now);
                     else
-                        replica.updateReceived(far.second, std::get<replication::SendUpdate>(message).update, m_now);
+                        replica.updateReceived(farEnd.second, std::get<replication::SendUpdate>(message).update, m_now);
                 });
     }
 }
