--- a/include/sailpath/balance/Balancer.hpp
+++ b/include/sailpath/balance/Balancer.hpp
@@ -336,21 +336,21 @@
     void                      witness(ServicePool& pool, const deployment::ServerFailure& failure, core::Timestamp now);
     void                      learnLimit(ServicePool& pool, ServerView& server, double perSecond, core::Timestamp now);
     void                      noteLimit(const ServerView& server, double sent, core::Timestamp now);
-    void                 learnLoad(ServicePool& pool, ServerView& server, const Outcome& outcome, core::Timestamp now);
-    void                 conclude(Ticket ticket, Request& request, core::Timestamp now);
-    void                 refuse(Ticket ticket, const Refusal& refusal);
-    [[nodiscard]] bool   mayDeny(core::Timestamp now) const;
-    void                 timeOut(Ticket ticket, Request& request, core::Timestamp now);
-    void                 hedge(Ticket ticket, Request& request, core::Timestamp now);
-    void                 abandonRunning(Ticket ticket, Request& request, core::Timestamp now);
-    void                 plan(Ticket ticket, Request& request, core::Timestamp now);
-    void                 close(Ticket ticket);
-    [[nodiscard]] Wish   wishOf(const Request& request) const;
-    [[nodiscard]] double retryExtra() const;
-    [[nodiscard]] core::Duration comeBackForTurn(double openness);
-    [[nodiscard]] core::Duration comeBackAfter(core::Duration backOff);
-    [[nodiscard]] core::Duration comeBackFrom(Shortage shortage, const ServicePool& pool, core::Timestamp now);
-    [[nodiscard]] core::Duration comeBack(const ServicePool& pool, double expectedMs);
+    void               learnLoad(ServicePool& pool, ServerView& server, const Outcome& outcome, core::Timestamp now);
+    void               conclude(Ticket ticket, Request& request, core::Timestamp now);
+    void               refuse(Ticket ticket, const Refusal& refusal);
+    [[nodiscard]] bool mayDeny(core::Timestamp now) const;
+    void               timeOut(Ticket ticket, Request& request, core::Timestamp now);
+    void               hedge(Ticket ticket, Request& request, core::Timestamp now);
+    void               abandonRunning(Ticket ticket, Request& request, core::Timestamp now);
+    void               plan(Ticket ticket, Request& request, core::Timestamp now);
+    void               close(Ticket ticket);
+    [[nodiscard]] SelectionCriteria wishOf(const Request& request) const;
+    [[nodiscard]] double            retryExtra() const;
+    [[nodiscard]] core::Duration    comeBackForTurn(double openness);
+    [[nodiscard]] core::Duration    comeBackAfter(core::Duration backOff);
+    [[nodiscard]] core::Duration    comeBackFrom(NoServerReason shortage, const ServicePool& pool, core::Timestamp now);
+    [[nodiscard]] core::Duration    comeBack(const ServicePool& pool, double expectedMs);
 
     Settings                                      m_settings;   //!< Constants
     core::Timestamp                               m_born;       //!< Start of this life
--- a/include/sailpath/balance/CallerPatience.hpp
+++ b/include/sailpath/balance/CallerElapsedEstimator.hpp
@@ -21,7 +21,7 @@
 /// Limits: after a start nothing is believed until some requests were seen; a
 /// route whose callers begin with different times never tells.
 ////////////////////////////////////////////////////////////
-class CallerPatience
+class CallerElapsedEstimator
 {
 public:
     ////////////////////////////////////////////////////////////
@@ -31,19 +31,19 @@
     ///
     /// \return For how long it has been trying; 0 when that cannot be told
     ////////////////////////////////////////////////////////////
-    core::Duration heard(core::Duration left);
+    core::Duration observe(core::Duration remaining);
 
-    [[nodiscard]] bool alike() const; //!< Callers begin with the same time, as far as is known
+    [[nodiscard]] bool timeoutsAreUniform() const; //!< Callers begin with the same time, as far as is known
 
 private:
-    static constexpr std::size_t kept = 64; // Requests: some seconds of one route at one of hundreds of nodes
+    static constexpr std::size_t maxSamples = 64; // Requests: some seconds of one route at one of hundreds of nodes
 
-    [[nodiscard]] double longest() const;
-    [[nodiscard]] double evidence(double longest) const; //!< Logarithm of the odds that callers begin alike
+    [[nodiscard]] double referenceMs() const;
+    [[nodiscard]] double logOdds(double referenceMs) const; //!< Logarithm of the odds that callers begin alike
 
-    std::array<double, kept> m_left{};       //!< Milliseconds that the latest callers said they had
-    std::size_t              m_count{0};     //!< Heard so far
-    bool                     m_alike{false}; //!< The belief holds
+    std::array<double, maxSamples> m_samplesMs{};    //!< Milliseconds that the latest callers said they had
+    std::size_t                    m_count{0};       //!< Heard so far
+    bool                           m_uniform{false}; //!< The belief holds
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/Load.hpp
+++ b/include/sailpath/balance/Load.hpp
@@ -7,10 +7,10 @@
 ////////////////////////////////////////////////////////////
 struct Load
 {
-    unsigned running{0}; //!< Requests it works on
-    unsigned waiting{0}; //!< Requests in its queue
-    unsigned slots{1};   //!< Requests it can work on at once
-    double   pace{1};    //!< How long work takes now; 1 is as usual
+    unsigned running{0};  //!< Requests it works on
+    unsigned waiting{0};  //!< Requests in its queue
+    unsigned slots{1};    //!< Requests it can work on at once
+    double   slowdown{1}; //!< How long work takes now; 1 is as usual
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/Pressure.hpp
+++ b/include/sailpath/balance/Pressure.hpp
@@ -12,17 +12,17 @@
 class Pressure
 {
 public:
-    void letIn(core::Timestamp now);      //!< Such a request was sent to a server
-    void turnedAway(core::Timestamp now); //!< Such a request was refused for load
+    void recordAdmitted(core::Timestamp now); //!< Such a request was sent to a server
+    void recordRejected(core::Timestamp now); //!< Such a request was refused for load
 
-    [[nodiscard]] bool any(core::Timestamp now) const;  //!< One was turned away lately
-    [[nodiscard]] bool high(core::Timestamp now) const; //!< Of late many of them were
+    [[nodiscard]] bool active(core::Timestamp now) const; //!< One was turned away lately
+    [[nodiscard]] bool high(core::Timestamp now) const;   //!< Of late many of them were
 
 private:
-    void note(double refused, core::Timestamp now);
+    void record(double rejected, core::Timestamp now);
 
-    std::optional<core::Timestamp> m_turnedAwayAt;    //!< The last that was
-    double                         m_refusedShare{0}; //!< Of the last ones
+    std::optional<core::Timestamp> m_lastRejectedAt;   //!< The last that was
+    double                         m_rejectedShare{0}; //!< Of the last ones
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/ProbeBudget.hpp
+++ b/include/sailpath/balance/ProbeBudget.hpp
@@ -15,7 +15,7 @@
 class ProbeBudget
 {
 public:
-    explicit ProbeBudget(core::Timestamp born);
+    explicit ProbeBudget(core::Timestamp startedAt);
 
     ////////////////////////////////////////////////////////////
     /// \brief Count a probe, if one may be sent
@@ -25,8 +25,8 @@
     bool take(double perSecond, core::Timestamp now);
 
 private:
-    double          m_left{0}; //!< Probes that may be sent
-    core::Timestamp m_at;      //!< Time of that figure
+    double          m_tokens{0}; //!< Probes that may be sent
+    core::Timestamp m_tokensAt;  //!< Time of that figure
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/RetryWindow.hpp
+++ b/include/sailpath/balance/RetryWindow.hpp
@@ -24,12 +24,12 @@
     /// \param ratio  Further sends as a share of requests
     /// \param born   Start of this life
     ////////////////////////////////////////////////////////////
-    RetryWindow(core::Duration window, double ratio, core::Timestamp born);
+    RetryWindow(core::Duration window, double ratio, core::Timestamp startedAt);
 
     ////////////////////////////////////////////////////////////
     /// \brief Count a request for the service
     ////////////////////////////////////////////////////////////
-    void requested(core::Timestamp now);
+    void recordRequest(core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Count a further send, if the budget allows one
@@ -48,17 +48,17 @@
     {
         core::Timestamp start{};     //!< Of the span counted here
         unsigned        requests{0}; //!< First sends
-        unsigned        further{0};  //!< Sends beyond the first
+        unsigned        retries{0};  //!< Sends beyond the first
     };
 
     Bucket& current(core::Timestamp now);
 
     core::Duration     m_window;      //!< Span
     double             m_ratio;       //!< Share
-    core::Timestamp    m_born;        //!< Start of this life
+    core::Timestamp    m_startedAt;   //!< Start of this life
     std::deque<Bucket> m_buckets;     //!< Oldest first
     unsigned           m_requests{0}; //!< Sum over the buckets
-    unsigned           m_further{0};  //!< Sum over the buckets
+    unsigned           m_retries{0};  //!< Sum over the buckets
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/ServerSubset.hpp
+++ b/include/sailpath/balance/ServerSubset.hpp
@@ -39,27 +39,27 @@
     /// \param dataCentre Where the node runs
     /// \param most       Servers
     ////////////////////////////////////////////////////////////
-    ServerSubset(std::uint32_t self, std::string dataCentre, std::size_t most);
+    ServerSubset(std::uint32_t self, std::string dataCentre, std::size_t maxSize);
 
-    void added(const std::shared_ptr<ServerView>& server);                        //!< The service has one more
-    void removed(const std::shared_ptr<ServerView>& server, const Servers& left); //!< It has one less
-    void reset(const Servers& all);                                               //!< It has these
+    void add(const std::shared_ptr<ServerView>& server);                              //!< The service has one more
+    void remove(const std::shared_ptr<ServerView>& server, const Servers& remaining); //!< It has one less
+    void reset(const Servers& all);                                                   //!< It has these
 
-    [[nodiscard]] std::span<const std::shared_ptr<ServerView>> list() const;
-    [[nodiscard]] std::uint64_t                                looked() const; //!< Counts servers that were ranked
+    [[nodiscard]] std::span<const std::shared_ptr<ServerView>> servers() const;
+    [[nodiscard]] std::uint64_t                                rankedCount() const; //!< Counts servers that were ranked
 
 private:
-    using Ranked = std::pair<bool, std::uint64_t>; //!< In the node's data centre; weight
+    using Rank = std::pair<bool, std::uint64_t>; //!< In the node's data centre; weight
 
-    [[nodiscard]] Ranked      rank(const ServerView& server) const;
-    [[nodiscard]] std::size_t lowest() const;
+    [[nodiscard]] Rank        rank(const ServerView& server) const;
+    [[nodiscard]] std::size_t lowestRankIndex() const;
 
-    std::uint32_t       m_self;       //!< The node
-    std::string         m_dataCentre; //!< Where it runs
-    std::size_t         m_most;       //!< Servers
-    Servers             m_servers;    //!< In no order
-    std::vector<Ranked> m_ranks;      //!< Of each
-    std::uint64_t       m_looked{0};  //!< Servers that were ranked
+    std::uint32_t     m_self;           //!< The node
+    std::string       m_dataCentre;     //!< Where it runs
+    std::size_t       m_maxSize;        //!< Servers
+    Servers           m_servers;        //!< In no order
+    std::vector<Rank> m_ranks;          //!< Of each
+    std::uint64_t     m_rankedCount{0}; //!< Servers that were ranked
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/WarmUpLimit.hpp
+++ b/include/sailpath/balance/WarmUpLimit.hpp
@@ -44,24 +44,24 @@
     /// \param self Short hash of this node's name
     /// \param born Start of this life of the node
     ////////////////////////////////////////////////////////////
-    WarmUpLimit(std::uint32_t self, core::Timestamp born);
+    WarmUpLimit(std::uint32_t self, core::Timestamp startedAt);
 
     void setBound(const WarmUpBound& bound);                 //!< What an instance bears
     void setMembers(std::span<const std::uint32_t> members); //!< Short hashes of all nodes, this one included
 
-    [[nodiscard]] bool     limits() const;                                      //!< There is a bound
-    [[nodiscard]] bool     chosen(std::uint32_t instance, core::Timestamp now); //!< This node may send to it at all
-    [[nodiscard]] double   rate() const;                                        //!< Requests a second of a chosen node
-    [[nodiscard]] unsigned senders() const;                                     //!< Nodes chosen for an instance
+    [[nodiscard]] bool     hasBound() const;                                      //!< There is a bound
+    [[nodiscard]] bool     isChosen(std::uint32_t instance, core::Timestamp now); //!< This node may send to it at all
+    [[nodiscard]] double   ratePerNode() const; //!< Requests a second of a chosen node
+    [[nodiscard]] unsigned senderCount() const; //!< Nodes chosen for an instance
 
 private:
     [[nodiscard]] bool ranksAmongFirst(std::uint32_t instance) const;
 
-    std::uint32_t                           m_self;    //!< This node
-    core::Timestamp                         m_from;    //!< Nothing is sent to cold instances before
-    WarmUpBound                             m_bound;   //!< What an instance bears
-    std::vector<std::uint32_t>              m_members; //!< All nodes
-    std::unordered_map<std::uint32_t, bool> m_chosen;  //!< By instance, as far as it was asked
+    std::uint32_t                           m_self;     //!< This node
+    core::Timestamp                         m_sendFrom; //!< Nothing is sent to cold instances before
+    WarmUpBound                             m_bound;    //!< What an instance bears
+    std::vector<std::uint32_t>              m_members;  //!< All nodes
+    std::unordered_map<std::uint32_t, bool> m_chosen;   //!< By instance, as far as it was asked
 };
 
 } // namespace sailpath::balance
--- a/src/sailpath/balance/Balancer.cpp
+++ b/src/sailpath/balance/Balancer.cpp
@@ -140,7 +140,7 @@
         if (instance.draining)
             remove(instance);
         else
-            poolOf(instance.service, added)->put(instance, now, declared.evacuated);
+            poolOf(instance.service, added)->upsert(instance, now, declared.evacuated);
     }
     return added;
 }
@@ -172,7 +172,8 @@
         {
             const auto pool = m_pools.find(part.service);
             if (pool != m_pools.end())
-                pool->second->work().expect(route.name, worksInTarget * core::toMilliseconds(route.targetLatency));
+                pool->second->work().setInitialEstimate(route.name,
+                                                        worksInTarget * core::toMilliseconds(route.targetLatency));
         }
     }
 }
@@ -188,7 +189,7 @@
     if (!attempt.running)
         return;
     attempt.running = false;
-    attempt.server->ended(now);
+    attempt.server->recordEnd(now);
     learn(request, attempt, outcome, now);
     if (outcome.identity)
         request.identity = outcome.identity;
@@ -231,17 +232,17 @@
 ////////////////////////////////////////////////////////////
 void Balancer::learnLoad(ServicePool& pool, ServerView& server, const Outcome& outcome, core::Timestamp now)
 {
-    if (outcome.warmUp && server.toldWarmUp(*outcome.warmUp, now))
+    if (outcome.warmUp && server.updateWarmUp(*outcome.warmUp, now))
         m_warmth.push_back({server.instance(), *outcome.warmUp});
     if (outcome.limit)
         learnLimit(pool, server, *outcome.limit, now);
     if (outcome.load)
     {
-        server.reported(*outcome.load, now);
-        pool.learnLoad(outcome.load->pace, server.reportedOthers());
+        server.recordReport(*outcome.load, now);
+        pool.learnLoad(outcome.load->slowdown, server.reportedOtherRequests());
     }
     else if (outcome.end == AttemptEnd::Answered)
-        pool.learnNoLoad();
+        pool.recordMissingLoad();
 }
 
 ////////////////////////////////////////////////////////////
@@ -251,7 +252,7 @@
     if (outcome.end == AttemptEnd::Answered || outcome.end == AttemptEnd::NotRun)
         m_crashes.answers(deployment::lifeHash(*server.instance()), now);
     if (outcome.end == AttemptEnd::Answered)
-        server.accepted(attempt.sentAt);
+        server.recordAccepted(attempt.sentAt);
     learnLoad(*request.pool, server, outcome, now);
     const double latency = core::toMilliseconds(now - attempt.sentAt);
     switch (outcome.end)
@@ -259,24 +260,24 @@
     case AttemptEnd::Answered:
         if (outcome.status >= statusServerFailed)
         {
-            server.failed(now);
+            server.recordFailure(now);
             noteFailure(*request.pool, server, now);
             break;
         }
-        server.answered(latency, attempt.plainMs);
+        server.recordAnswer(latency, attempt.plainMs);
         request.pool->work().learn(request.route.name, latency, attempt.plainMs, attempt.crowding);
         break;
     case AttemptEnd::NotRun:
-        server.shed(now);
+        server.recordRejection(now);
         if (outcome.misdirected)
             noticed(server.instance(), {false, misdirectedBackOff}, NoticeSource::Misdirected, now);
         break;
     case AttemptEnd::Lost:
-        server.failed(now);
+        server.recordFailure(now);
         noteFailure(*request.pool, server, now);
         break;
     case AttemptEnd::NotSent:
-        server.failed(now);
+        server.recordFailure(now);
         break;
     }
 }
@@ -304,7 +305,7 @@
 ////////////////////////////////////////////////////////////
 void Balancer::witness(ServicePool& pool, const deployment::ServerFailure& failure, core::Timestamp now)
 {
-    if (auto suspect = pool.failedElsewhere(failure, now))
+    if (auto suspect = pool.recordRemoteFailure(failure, now))
         m_suspects.push_back(std::move(suspect));
 }
 
@@ -356,9 +357,9 @@
     attempt.server = choice.server;
     attempt.sentAt = now;
     attempt.expectedMs = choice.finishMs;
-    attempt.plainMs = choice.finishMs / choice.server->ratio();
+    attempt.plainMs = choice.finishMs / choice.server->latencyRatio();
     attempt.crowding = choice.crowding;
-    request.pool->sent(*choice.server, now);
+    request.pool->recordSent(*choice.server, now);
     if (request.attempts.empty())
         m_quotas.sent(request.workspace, now);
     if (choice.server->limit(now) != nullptr)
@@ -398,9 +399,9 @@
         refuse(ticket, {RefusalReason::Unknown, true, {}});
     else
     {
-        const bool           backOff = request.pool->shortage(now) == Shortage::BackOff;
+        const bool           backOff = request.pool->noServerReason(now) == NoServerReason::BackOff;
         const core::Duration wait =
-            backOff ? comeBackFrom(Shortage::BackOff, *request.pool, now) : comeBack(*request.pool, 0);
+            backOff ? comeBackFrom(NoServerReason::BackOff, *request.pool, now) : comeBack(*request.pool, 0);
         refuse(ticket, {RefusalReason::NotRun, false, std::max(request.comeBack, wait)});
     }
     close(ticket);
@@ -415,12 +416,12 @@
         if (!attempt.running)
             continue;
         attempt.running = false;
-        attempt.server->ended(now);
+        attempt.server->recordEnd(now);
         const double elapsed = core::toMilliseconds(now - attempt.sentAt);
-        attempt.server->overdue(elapsed, attempt.plainMs);
+        attempt.server->recordOverdue(elapsed, attempt.plainMs);
         if (elapsed >
             m_settings.hopelessWorks * std::max(attempt.expectedMs, request.pool->work().ms(request.route.name)))
-            attempt.server->failed(now);
+            attempt.server->recordFailure(now);
         request.mayHaveRun = true;
         Step step;
         step.kind = StepKind::Abandon;
@@ -468,14 +469,14 @@
 }
 
 ////////////////////////////////////////////////////////////
-Wish Balancer::wishOf(const Request& request) const
+SelectionCriteria Balancer::wishOf(const Request& request) const
 {
-    Wish wish{request.route.name, request.route.repeatable, request.tried};
-    wish.asked = request.search.probes;
+    SelectionCriteria wish{request.route.name, request.route.repeatable, request.tried};
+    wish.probed = request.search.probes;
     wish.draw = request.draw;
     wish.rank = request.rank;
-    wish.lastResort = std::none_of(request.attempts.begin(), request.attempts.end(),
-                                   [](const Attempt& attempt) { return attempt.running; });
+    wish.allowLeaving = std::none_of(request.attempts.begin(), request.attempts.end(),
+                                     [](const Attempt& attempt) { return attempt.running; });
     return wish;
 }
 
@@ -488,7 +489,7 @@
 ////////////////////////////////////////////////////////////
 core::Duration Balancer::comeBack(const ServicePool& pool, double expectedMs)
 {
-    const double base = std::max(expectedMs, pool.work().usual().workMs) * (0.5 + m_random.unit());
+    const double base = std::max(expectedMs, pool.work().baseline().workMs) * (0.5 + m_random.unit());
     return std::clamp<core::Duration>(core::fromMilliseconds(base), leastComeBack, longestComeBack);
 }
 
--- a/src/sailpath/balance/BalancerAdmission.cpp
+++ b/src/sailpath/balance/BalancerAdmission.cpp
@@ -65,8 +65,8 @@
     // A caller whose time is up has gone, and a server that works for him is kept from others.
     if (request.deadline <= now)
         return refuse(ticket, {RefusalReason::TimedOut, false, m_settings.comeBackSoon});
-    request.pool->retries().requested(now);
-    request.firstTry = request.since - request.pool->arrived(*route, arrival.timeLeft, now);
+    request.pool->retries().recordRequest(now);
+    request.firstTry = request.since - request.pool->recordArrival(*route, arrival.timeLeft, now);
     seek(ticket, m_requests.emplace(ticket, std::move(request)).first->second, now);
 }
 
@@ -101,16 +101,17 @@
     if (!m_settings.gating)
         return false;
     if (!mayBeInTime(request, now))
-        return pool.pressed(rank, now) || pool.full(server, now) || exceedsDeadline(request, choice, now);
+        return pool.underPressure(rank, now) || pool.wouldLoseThroughput(server, now) ||
+               exceedsDeadline(request, choice, now);
     if (admits(request, choice, now))
     {
-        pool.letIn(rank, now);
+        pool.recordAdmitted(rank, now);
         return false;
     }
     // What is not known yet is learned by few; a guess keeps the others from flooding full servers.
-    if (pool.work().tryOut(request.route.name, now))
+    if (pool.work().allowExploration(request.route.name, now))
         return false;
-    pool.turnedAway(rank, now);
+    pool.recordRejected(rank, now);
     return true;
 }
 
@@ -123,7 +124,8 @@
     const double   passed = core::toMilliseconds(now - request.firstTry);
     const double   most = mostMs(core::toMilliseconds(request.route.targetLatency), rank);
     const bool     late = passed + choice.finishMs > most || exceedsDeadline(request, choice, now);
-    const bool     crowds = request.pool->highlyPressed(rank, now) && request.pool->full(*choice.server, now);
+    const bool     crowds =
+        request.pool->underHighPressure(rank, now) && request.pool->wouldLoseThroughput(*choice.server, now);
     return !late && !crowds && !delaysMoreUrgent(request, *choice.server, now);
 }
 
@@ -146,12 +148,13 @@
 {
     const ServicePool& pool = *request.pool;
     const double       passed = core::toMilliseconds(now - request.firstTry);
-    const auto         delayed = [&](const std::string& name, const RouteSeen& route)
+    const auto         delayed = [&](const std::string& name, const RouteActivity& route)
     {
-        if (route.rank >= request.route.priority || now - route.at > urgentFor || !pool.work().knows(name))
+        if (route.rank >= request.route.priority || now - route.lastRequestAt > urgentFor ||
+            !pool.work().hasLearned(name))
             return false;
         const double between = 1 + rankStep * (request.route.priority - route.rank);
-        const double limit = mostMs(core::toMilliseconds(route.target), route.rank) / between;
+        const double limit = mostMs(core::toMilliseconds(route.targetLatency), route.rank) / between;
         // What takes most of its target by its own work is not helped by others giving way.
         return passed + pool.finishMs(server, name, now) > std::max(ownWorks * pool.work().ms(name), limit);
     };
--- a/src/sailpath/balance/BalancerLimits.cpp
+++ b/src/sailpath/balance/BalancerLimits.cpp
@@ -18,11 +18,11 @@
 void Balancer::learnLimit(ServicePool& pool, ServerView& server, double perSecond, core::Timestamp now)
 {
     const bool first = server.limit(now) == nullptr;
-    if (!server.toldLimit(perSecond, now, 0, now))
+    if (!server.updateLimit(perSecond, now, 0, now))
         return;
-    pool.limited();
+    pool.markLimited();
     m_limits.push_back({server.instance(), perSecond, 0});
-    noteLimit(server, first ? server.recent(now) : 0, now);
+    noteLimit(server, first ? server.recentRequests(now) : 0, now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -54,14 +54,14 @@
             if (!server)
                 continue;
             const bool first = server->limit(now) == nullptr;
-            if (server->toldLimit(one.perSecond, now - one.ago, one.doublings, now))
+            if (server->updateLimit(one.perSecond, now - one.ago, one.doublings, now))
                 m_limits.push_back({server->instance(), one.perSecond, one.node});
-            pool->limited();
+            pool->markLimited();
             // How open it is to the node that told has in it what that node sent.
             if (!first)
                 server->sentElsewhere(one.sent, one.doublings, now);
-            else if (server->limit(now) != nullptr && server->recent(now) > worthTelling)
-                noteLimit(*server, server->recent(now), now);
+            else if (server->limit(now) != nullptr && server->recentRequests(now) > worthTelling)
+                noteLimit(*server, server->recentRequests(now), now);
         }
     }
 }
--- a/src/sailpath/balance/BalancerNotices.cpp
+++ b/src/sailpath/balance/BalancerNotices.cpp
@@ -34,7 +34,7 @@
     const auto pool = m_pools.find(instance->service);
     if (pool == m_pools.end())
         return;
-    const ServerNotice news = pool->second->noticed(*instance, notice, m_random.unit(), now);
+    const ServerNotice news = pool->second->applyNotice(*instance, notice, m_random.unit(), now);
     if (!news.empty() && m_notices.size() < mostNews)
         m_notices.push_back({instance, news, source});
 }
--- a/src/sailpath/balance/BalancerSearch.cpp
+++ b/src/sailpath/balance/BalancerSearch.cpp
@@ -18,21 +18,21 @@
                                         // take slots
 
 ////////////////////////////////////////////////////////////
-RefusalReason reasonOf(Shortage shortage)
+RefusalReason reasonOf(NoServerReason shortage)
 {
     switch (shortage)
     {
-    case Shortage::Evacuated:
+    case NoServerReason::Evacuated:
         return RefusalReason::Evacuated;
-    case Shortage::Limited:
+    case NoServerReason::Limited:
         return RefusalReason::AllLimited;
-    case Shortage::Cold:
+    case NoServerReason::Cold:
         return RefusalReason::AllCold;
-    case Shortage::BackOff:
+    case NoServerReason::BackOff:
         return RefusalReason::AllBackOff;
-    case Shortage::Leaving:
+    case NoServerReason::Leaving:
         return RefusalReason::AllLeaving;
-    case Shortage::Other:
+    case NoServerReason::Other:
         break;
     }
     return RefusalReason::NoServer;
@@ -45,10 +45,11 @@
 {
     request.search = Search{};
     request.draw = static_cast<std::uint32_t>(core::mix(static_cast<std::uint32_t>(m_settings.seed), ++m_searches));
-    request.rank = request.pool->anyLimited(now) ? request.pool->moreUrgent(request.route.priority, now) : 0;
+    request.rank =
+        request.pool->hasLimitedInstance(now) ? request.pool->countMoreUrgentRanks(request.route.priority, now) : 0;
     // What comes back late gets no room, and none is looked for, while others could still be in time.
     const bool gated = m_settings.gating && request.attempts.empty();
-    if (gated && request.pool->pressed(request.route.priority, now) && !mayBeInTime(request, now))
+    if (gated && request.pool->underPressure(request.route.priority, now) && !mayBeInTime(request, now))
     {
         Refusal refusal{RefusalReason::CameBackLate, false, comeBack(*request.pool, 0)};
         refusal.trying = request.since - request.firstTry;
@@ -65,16 +66,16 @@
 ////////////////////////////////////////////////////////////
 void Balancer::beginRound(Ticket ticket, Request& request, core::Timestamp now)
 {
-    Search& search = request.search;
-    Wish    wish = wishOf(request);
-    wish.first = search.probes.empty();
-    wish.nearFirst = m_settings.nearFirst && wish.first;
+    Search&           search = request.search;
+    SelectionCriteria wish = wishOf(request);
+    wish.firstRound = search.probes.empty();
+    wish.localFirst = m_settings.nearFirst && wish.firstRound;
     const unsigned most = search.probes.empty() ? m_settings.probesAtFirst : m_settings.probesPerRound;
-    auto           servers = request.pool->worthProbing(wish, search.asked, most, now, m_random);
+    auto           servers = request.pool->selectProbeTargets(wish, search.asked, most, now, m_random);
     if (servers.empty())
     {
         search.asked.clear();
-        servers = request.pool->worthProbing(wish, search.asked, most, now, m_random);
+        servers = request.pool->selectProbeTargets(wish, search.asked, most, now, m_random);
     }
     search.pausing = false;
     search.waiting = 0;
@@ -113,14 +114,14 @@
     ServerView& server = *search.probes[probe - 1];
     learnLoad(*request.pool, server, outcome, now);
     if (outcome.load)
-        request.pool->noteFound(looksGood(request, request.pool->finishMs(server, request.route.name, now)));
+        request.pool->recordProbeResult(looksGood(request, request.pool->finishMs(server, request.route.name, now)));
     if (!outcome.load && (outcome.end == AttemptEnd::Lost || outcome.end == AttemptEnd::NotSent))
-        server.failed(now);
+        server.recordFailure(now);
     if (!search.active || search.pausing || probe <= search.roundStart)
         return;
     --search.waiting;
-    Wish wish = wishOf(request);
-    wish.freshest = m_settings.reportFresh;
+    SelectionCriteria wish = wishOf(request);
+    wish.maxReportAge = m_settings.reportFresh;
     const Choice choice = request.pool->choose(wish, now, m_random);
     if (choice.server && good(request, choice, now))
         return settle(ticket, request, choice, now);
@@ -141,7 +142,7 @@
         return beginRound(ticket, request, now);
     // A server that the request would be turned away from ends no search: the next that is asked may have room. In a
     // shortage there is nothing to be found, and probes take what little room there is.
-    const bool shortage = request.pool->highlyPressed(request.route.priority, now);
+    const bool shortage = request.pool->underHighPressure(request.route.priority, now);
     const bool takes = shortage || !request.attempts.empty() || admits(request, choice, now);
     if (takes && meetsTarget(request, choice.finishMs, now))
     {
@@ -214,7 +215,7 @@
     }
     if (!choice.server)
     {
-        const Shortage shortage = request.pool->shortage(now);
+        const NoServerReason shortage = request.pool->noServerReason(now);
         refuse(ticket, {reasonOf(shortage), false, comeBackFrom(shortage, *request.pool, now)});
         return close(ticket);
     }
@@ -229,11 +230,11 @@
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration Balancer::comeBackFrom(Shortage shortage, const ServicePool& pool, core::Timestamp now)
+core::Duration Balancer::comeBackFrom(NoServerReason shortage, const ServicePool& pool, core::Timestamp now)
 {
-    if (shortage == Shortage::Limited)
+    if (shortage == NoServerReason::Limited)
         return comeBackForTurn(pool.openness(now));
-    if (shortage == Shortage::BackOff)
+    if (shortage == NoServerReason::BackOff)
         return comeBackAfter(pool.shortestBackOff(now));
     return m_settings.comeBackSoon;
 }
--- a/src/sailpath/balance/Pressure.cpp
+++ b/src/sailpath/balance/Pressure.cpp
@@ -4,43 +4,43 @@
 {
 namespace
 {
-constexpr auto   pressedFor = std::chrono::seconds{2}; // Those turned away are back by then: the longest `comeBack`
-constexpr double gain = 0.2;                           // Share of one request in the share refused
-constexpr double highShare = 0.5;                      // More are turned away than let in
+constexpr auto   activeFor = std::chrono::seconds{2}; // Those turned away are back by then: the longest `comeBack`
+constexpr double rejectedShareGain = 0.2;             // Share of one request in the share refused
+constexpr double highRejectedShare = 0.5;             // More are turned away than let in
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-void Pressure::letIn(core::Timestamp now)
+void Pressure::recordAdmitted(core::Timestamp now)
 {
-    note(0, now);
+    record(0, now);
 }
 
 ////////////////////////////////////////////////////////////
-void Pressure::turnedAway(core::Timestamp now)
+void Pressure::recordRejected(core::Timestamp now)
 {
-    note(1, now);
-    m_turnedAwayAt = now;
+    record(1, now);
+    m_lastRejectedAt = now;
 }
 
 ////////////////////////////////////////////////////////////
-void Pressure::note(double refused, core::Timestamp now)
+void Pressure::record(double rejected, core::Timestamp now)
 {
-    if (!any(now))
-        m_refusedShare = 0;
-    m_refusedShare += gain * (refused - m_refusedShare);
+    if (!active(now))
+        m_rejectedShare = 0;
+    m_rejectedShare += rejectedShareGain * (rejected - m_rejectedShare);
 }
 
 ////////////////////////////////////////////////////////////
-bool Pressure::any(core::Timestamp now) const
+bool Pressure::active(core::Timestamp now) const
 {
-    return m_turnedAwayAt && now - *m_turnedAwayAt < pressedFor;
+    return m_lastRejectedAt && now - *m_lastRejectedAt < activeFor;
 }
 
 ////////////////////////////////////////////////////////////
 bool Pressure::high(core::Timestamp now) const
 {
-    return any(now) && m_refusedShare > highShare;
+    return active(now) && m_rejectedShare > highRejectedShare;
 }
 
 } // namespace sailpath::balance
--- a/src/sailpath/balance/RetryWindow.cpp
+++ b/src/sailpath/balance/RetryWindow.cpp
@@ -5,20 +5,20 @@
 namespace
 {
 constexpr int    bucketsPerWindow = 20;
-constexpr double margin = 0.9; // Of the share; what is under way between a node and a server shifts the windows
+constexpr double ratioMargin = 0.9; // Of the share; what is under way between a node and a server shifts the windows
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-RetryWindow::RetryWindow(core::Duration window, double ratio, core::Timestamp born) :
+RetryWindow::RetryWindow(core::Duration window, double ratio, core::Timestamp startedAt) :
 m_window(window),
 m_ratio(ratio),
-m_born(born)
+m_startedAt(startedAt)
 {
 }
 
 ////////////////////////////////////////////////////////////
-void RetryWindow::requested(core::Timestamp now)
+void RetryWindow::recordRequest(core::Timestamp now)
 {
     ++current(now).requests;
     ++m_requests;
@@ -29,8 +29,8 @@
 {
     if (!allows(extra, now))
         return false;
-    ++current(now).further;
-    ++m_further;
+    ++current(now).retries;
+    ++m_retries;
     return true;
 }
 
@@ -38,8 +38,8 @@
 bool RetryWindow::allows(double extra, core::Timestamp now)
 {
     (void)current(now);
-    const double ripe = now - m_born > m_window ? extra : 0.0;
-    return m_further + 1.0 <= margin * m_ratio * m_requests + ripe;
+    const double grantedExtra = now - m_startedAt > m_window ? extra : 0.0;
+    return m_retries + 1.0 <= ratioMargin * m_ratio * m_requests + grantedExtra;
 }
 
 ////////////////////////////////////////////////////////////
@@ -49,7 +49,7 @@
     while (!m_buckets.empty() && now - m_buckets.front().start > m_window)
     {
         m_requests -= m_buckets.front().requests;
-        m_further -= m_buckets.front().further;
+        m_retries -= m_buckets.front().retries;
         m_buckets.pop_front();
     }
     if (m_buckets.empty() || now - m_buckets.back().start >= width)
--- a/src/sailpath/balance/ServerSubset.cpp
+++ b/src/sailpath/balance/ServerSubset.cpp
@@ -8,15 +8,15 @@
 namespace sailpath::balance
 {
 ////////////////////////////////////////////////////////////
-ServerSubset::ServerSubset(std::uint32_t self, std::string dataCentre, std::size_t most) :
+ServerSubset::ServerSubset(std::uint32_t self, std::string dataCentre, std::size_t maxSize) :
 m_self(self),
 m_dataCentre(std::move(dataCentre)),
-m_most(most)
+m_maxSize(maxSize)
 {
 }
 
 ////////////////////////////////////////////////////////////
-ServerSubset::Ranked ServerSubset::rank(const ServerView& server) const
+ServerSubset::Rank ServerSubset::rank(const ServerView& server) const
 {
     // The same weight by which few nodes are chosen for a cold server: who is chosen has it in the subset.
     const deployment::Instance& instance = *server.instance();
@@ -24,38 +24,38 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t ServerSubset::lowest() const
+std::size_t ServerSubset::lowestRankIndex() const
 {
     return static_cast<std::size_t>(std::min_element(m_ranks.begin(), m_ranks.end()) - m_ranks.begin());
 }
 
 ////////////////////////////////////////////////////////////
-void ServerSubset::added(const std::shared_ptr<ServerView>& server)
+void ServerSubset::add(const std::shared_ptr<ServerView>& server)
 {
-    ++m_looked;
-    const Ranked ranked = rank(*server);
-    if (m_servers.size() < m_most)
+    ++m_rankedCount;
+    const Rank newRank = rank(*server);
+    if (m_servers.size() < m_maxSize)
     {
         m_servers.push_back(server);
-        m_ranks.push_back(ranked);
+        m_ranks.push_back(newRank);
         return;
     }
-    const std::size_t least = lowest();
-    if (ranked < m_ranks[least])
+    const std::size_t lowest = lowestRankIndex();
+    if (newRank < m_ranks[lowest])
         return;
-    m_servers[least] = server;
-    m_ranks[least] = ranked;
+    m_servers[lowest] = server;
+    m_ranks[lowest] = newRank;
 }
 
 ////////////////////////////////////////////////////////////
-void ServerSubset::removed(const std::shared_ptr<ServerView>& server, const Servers& left)
+void ServerSubset::remove(const std::shared_ptr<ServerView>& server, const Servers& remaining)
 {
     const auto found = std::find(m_servers.begin(), m_servers.end(), server);
     if (found == m_servers.end())
         return;
     // The next in rank is among those that were left out.
-    if (left.size() >= m_most)
-        return reset(left);
+    if (remaining.size() >= m_maxSize)
+        return reset(remaining);
     m_ranks.erase(m_ranks.begin() + (found - m_servers.begin()));
     m_servers.erase(found);
 }
@@ -66,19 +66,19 @@
     m_servers.clear();
     m_ranks.clear();
     for (const auto& server : all)
-        added(server);
+        add(server);
 }
 
 ////////////////////////////////////////////////////////////
-std::span<const std::shared_ptr<ServerView>> ServerSubset::list() const
+std::span<const std::shared_ptr<ServerView>> ServerSubset::servers() const
 {
     return m_servers;
 }
 
 ////////////////////////////////////////////////////////////
-std::uint64_t ServerSubset::looked() const
+std::uint64_t ServerSubset::rankedCount() const
 {
-    return m_looked;
+    return m_rankedCount;
 }
 
 } // namespace sailpath::balance
--- a/src/sailpath/balance/ServerView.cpp
+++ b/src/sailpath/balance/ServerView.cpp
@@ -7,27 +7,28 @@
 {
 namespace
 {
-constexpr double   ratioGain = 0.2;          // Share of one answer in an instance's latency ratio
-constexpr double   leastRatio = 0.5;         // Bound of the ratio
-constexpr double   largestRatio = 20;        // Bound of one observation
-constexpr double   coldPace = 1.6;           // Assumed of an instance that is still warming up
+constexpr double   latencyRatioGain = 0.2;   // Share of one answer in an instance's latency ratio
+constexpr double   minLatencyRatio = 0.5;    // Bound of the ratio
+constexpr double   maxObservedRatio = 20;    // Bound of one observation
+constexpr double   coldSlowdown = 1.6;       // Assumed of an instance that is still warming up
 constexpr double   failureGain = 0.3;        // Share of one attempt in the failure share
 constexpr double   failureHalfLifeMs = 3000; // How fast a failure is forgotten without further attempts
 constexpr double   crowdedFrom = 0.7;        // Share of the slots taken from which an instance may become slower
 constexpr unsigned failuresToEject = 2;      // In a row
 constexpr auto     firstEjection = std::chrono::milliseconds{800};
-constexpr auto     longestEjection = std::chrono::seconds{6};
-constexpr auto     witnessLife = std::chrono::seconds{4}; // Two requests or more of all nodes reach a server in it
-constexpr double   witnessRatio = 3;    // Times the usual witnesses of the others, and one more, are reason to suspect;
-                                        // a bad link, which sees all fail, is none
-constexpr unsigned fewestWitnesses = 2; // One node's word is not enough
+constexpr auto     maxEjection = std::chrono::seconds{6};
+constexpr auto     observationLife = std::chrono::seconds{4}; // Two requests or more of all nodes reach a server in it
+constexpr double   observerRatio = 3; // Times the usual witnesses of the others, and one more, are reason to suspect;
+                                      // a bad link, which sees all fail, is none
+constexpr unsigned minObservers = 2;  // One node's word is not enough
 constexpr auto     firstSuspicion = std::chrono::seconds{8};
 constexpr auto     suspicionMemory = std::chrono::seconds{10}; // After its end the next one lasts twice as long
-constexpr unsigned mostSuspicionDoublings = 2;
-constexpr double recentMs = 600; // Fading of what was sent before a limit was known: the part of a second that a third
-                                 // of the rate cannot make up for by itself
-constexpr auto   firstShed = std::chrono::milliseconds{60};
-constexpr auto   longestShed = std::chrono::milliseconds{1000};
+constexpr unsigned maxSuspicionDoublings = 2;
+constexpr double   recentDecayMs =
+    600; // Fading of what was sent before a limit was known: the part of a second that a third
+         // of the rate cannot make up for by itself
+constexpr auto firstFullPeriod = std::chrono::milliseconds{60};
+constexpr auto maxFullPeriod = std::chrono::milliseconds{1000};
 
 } // namespace
 
@@ -36,12 +37,12 @@
 m_settings(settings),
 m_instance(std::make_shared<const deployment::Instance>(std::move(instance))),
 m_coldUntil(now + m_instance->warmUp),
-m_turnsAt(now)
+m_coldTokensAt(now)
 {
 }
 
 ////////////////////////////////////////////////////////////
-void ServerView::joined()
+void ServerView::markJoined()
 {
     m_joined = true;
 }
@@ -73,24 +74,24 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServerView::takenBack(core::Duration warmUp, core::Timestamp now)
+void ServerView::reinstate(core::Duration warmUp, core::Timestamp now)
 {
     m_evacuated = false;
     m_coldUntil = std::max<core::Timestamp>(m_coldUntil, now + warmUp);
-    m_doubtful = true;
+    m_coldUnconfirmed = true;
 }
 
 ////////////////////////////////////////////////////////////
-bool ServerView::toldWarmUp(core::Duration left, core::Timestamp now)
+bool ServerView::updateWarmUp(core::Duration left, core::Timestamp now)
 {
-    const bool believed = cold(now);
+    const bool wasCold = cold(now);
     m_coldUntil = now + left;
-    m_doubtful = false;
-    return believed != cold(now);
+    m_coldUnconfirmed = false;
+    return wasCold != cold(now);
 }
 
 ////////////////////////////////////////////////////////////
-bool ServerView::toldLimit(double perSecond, core::Timestamp at, double doublings, core::Timestamp now)
+bool ServerView::updateLimit(double perSecond, core::Timestamp at, double doublings, core::Timestamp now)
 {
     if (m_limit && m_limit->over(now))
         m_limit.reset();
@@ -101,7 +102,7 @@
         m_limit.emplace(doublings, now);
         // The server counts what it had got just before with what follows; left out, it would get more than it bears.
         const bool changed = m_limit->told(perSecond, at, now);
-        m_limit->sent(recent(now), now);
+        m_limit->sent(recentRequests(now), now);
         return changed;
     }
     return m_limit->told(perSecond, at, now);
@@ -115,9 +116,9 @@
 }
 
 ////////////////////////////////////////////////////////////
-double ServerView::recent(core::Timestamp now) const
+double ServerView::recentRequests(core::Timestamp now) const
 {
-    return m_recent * std::exp(-core::toMilliseconds(now - m_recentAt) / recentMs);
+    return m_recentRequests * std::exp(-core::toMilliseconds(now - m_recentRequestsAt) / recentDecayMs);
 }
 
 ////////////////////////////////////////////////////////////
@@ -127,19 +128,19 @@
 }
 
 ////////////////////////////////////////////////////////////
-ServerNotice ServerView::noticed(const ServerNotice& notice, double spread, core::Timestamp now)
+ServerNotice ServerView::applyNotice(const ServerNotice& notice, double spread, core::Timestamp now)
 {
     return m_notices.hear(notice, spread, now);
 }
 
 ////////////////////////////////////////////////////////////
-void ServerView::accepted(core::Timestamp sentAt)
+void ServerView::recordAccepted(core::Timestamp sentAt)
 {
     m_notices.accepted(sentAt);
 }
 
 ////////////////////////////////////////////////////////////
-void ServerView::keepNotices(const NoticeState& notices)
+void ServerView::restoreNotices(const NoticeState& notices)
 {
     m_notices = notices;
 }
@@ -151,173 +152,175 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServerView::sent(core::Timestamp now)
+void ServerView::recordSent(core::Timestamp now)
 {
     ++m_inFlight;
-    m_recent = recent(now) + 1;
-    m_recentAt = now;
+    m_recentRequests = recentRequests(now) + 1;
+    m_recentRequestsAt = now;
     m_notices.sent(now);
     if (m_limit)
         m_limit->sent(1, now);
 }
 
 ////////////////////////////////////////////////////////////
-void ServerView::ended(core::Timestamp)
+void ServerView::recordEnd(core::Timestamp)
 {
     --m_inFlight;
 }
 
 ////////////////////////////////////////////////////////////
-void ServerView::reported(const Load& load, core::Timestamp now)
+void ServerView::recordReport(const Load& load, core::Timestamp now)
 {
     const double all = load.running + load.waiting;
     m_report = Report{load, std::max(0.0, all - m_inFlight), now};
 }
 
 ////////////////////////////////////////////////////////////
-void ServerView::answered(double latencyMs, double expectedMs)
+void ServerView::recordAnswer(double latencyMs, double expectedMs)
 {
-    const double seen = std::min(largestRatio, latencyMs / std::max(1.0, expectedMs));
-    m_ratio += ratioGain * (seen - m_ratio);
+    const double observedRatio = std::min(maxObservedRatio, latencyMs / std::max(1.0, expectedMs));
+    m_latencyRatio += latencyRatioGain * (observedRatio - m_latencyRatio);
     m_failures -= failureGain * m_failures;
-    m_inRow = 0;
-    m_sheds = 0;
+    m_consecutiveFailures = 0;
+    m_consecutiveRejections = 0;
     m_ejectedUntil = {};
-    m_shedUntil = {};
+    m_assumedFullUntil = {};
 }
 
 ////////////////////////////////////////////////////////////
-void ServerView::overdue(double elapsedMs, double expectedMs)
+void ServerView::recordOverdue(double elapsedMs, double expectedMs)
 {
-    const double seen = std::min(largestRatio, elapsedMs / std::max(1.0, expectedMs));
-    if (seen > m_ratio)
-        m_ratio += ratioGain * (seen - m_ratio);
+    const double observedRatio = std::min(maxObservedRatio, elapsedMs / std::max(1.0, expectedMs));
+    if (observedRatio > m_latencyRatio)
+        m_latencyRatio += latencyRatioGain * (observedRatio - m_latencyRatio);
 }
 
 ////////////////////////////////////////////////////////////
-void ServerView::failed(core::Timestamp now)
+void ServerView::recordFailure(core::Timestamp now)
 {
     m_failures = failureShare(now);
     m_failures += failureGain * (1 - m_failures);
     m_failuresAt = now;
-    ++m_inRow;
-    if (m_inRow < failuresToEject)
+    ++m_consecutiveFailures;
+    if (m_consecutiveFailures < failuresToEject)
         return;
-    const auto doublings = std::min(m_inRow - failuresToEject, 4U);
-    m_ejectedUntil = now + std::min<core::Duration>(firstEjection * (1U << doublings), longestEjection);
+    const auto doublings = std::min(m_consecutiveFailures - failuresToEject, 4U);
+    m_ejectedUntil = now + std::min<core::Duration>(firstEjection * (1U << doublings), maxEjection);
 }
 
 ////////////////////////////////////////////////////////////
-bool ServerView::failedElsewhere(std::uint32_t node, double all, std::size_t servers, core::Timestamp now)
+bool ServerView::recordRemoteFailure(std::uint32_t node, double observations, std::size_t serverCount,
+                                     core::Timestamp now)
 {
-    std::erase_if(m_witnesses,
-                  [&](const auto& witness) { return witness.first == node || now - witness.second > witnessLife; });
-    m_witnesses.emplace_back(node, now);
-    const auto   count = static_cast<double>(m_witnesses.size());
-    const auto   others = static_cast<double>(std::max<std::size_t>(servers, 2) - 1);
-    const double usually = std::max(0.0, all - count) / others;
-    return m_witnesses.size() >= fewestWitnesses && count > 1 + witnessRatio * usually && !suspect(now);
+    std::erase_if(m_failureObservers, [&](const auto& observer)
+                  { return observer.first == node || now - observer.second > observationLife; });
+    m_failureObservers.emplace_back(node, now);
+    const auto   count = static_cast<double>(m_failureObservers.size());
+    const auto   otherServers = static_cast<double>(std::max<std::size_t>(serverCount, 2) - 1);
+    const double meanPerOther = std::max(0.0, observations - count) / otherServers;
+    return m_failureObservers.size() >= minObservers && count > 1 + observerRatio * meanPerOther && !isSuspect(now);
 }
 
 ////////////////////////////////////////////////////////////
-void ServerView::suspectFrom(core::Timestamp now)
+void ServerView::markSuspect(core::Timestamp now)
 {
     const bool again = m_suspectUntil != core::Timestamp{} && now - m_suspectUntil < suspicionMemory;
-    m_suspicions = again ? std::min(m_suspicions + 1, mostSuspicionDoublings) : 0;
-    m_suspectUntil = now + firstSuspicion * (1U << m_suspicions);
+    m_suspicionDoublings = again ? std::min(m_suspicionDoublings + 1, maxSuspicionDoublings) : 0;
+    m_suspectUntil = now + firstSuspicion * (1U << m_suspicionDoublings);
 }
 
 ////////////////////////////////////////////////////////////
-bool ServerView::suspect(core::Timestamp now) const
+bool ServerView::isSuspect(core::Timestamp now) const
 {
     return now < m_suspectUntil;
 }
 
 ////////////////////////////////////////////////////////////
-void ServerView::shed(core::Timestamp now)
+void ServerView::recordRejection(core::Timestamp now)
 {
-    const auto doublings = std::min(m_sheds, 5U);
-    ++m_sheds;
-    m_shedUntil = now + std::min<core::Duration>(firstShed * (1U << doublings), longestShed);
+    const auto doublings = std::min(m_consecutiveRejections, 5U);
+    ++m_consecutiveRejections;
+    m_assumedFullUntil = now + std::min<core::Duration>(firstFullPeriod * (1U << doublings), maxFullPeriod);
 }
 
 ////////////////////////////////////////////////////////////
 void ServerView::setIdleConnections(unsigned count)
 {
-    m_idle = count;
+    m_idleConnections = count;
 }
 
 ////////////////////////////////////////////////////////////
 void ServerView::setOpenConnections(unsigned count)
 {
-    m_open = count;
+    m_openConnections = count;
 }
 
 ////////////////////////////////////////////////////////////
-double ServerView::crowding(double others, core::Timestamp now) const
+double ServerView::crowding(double otherRequests, core::Timestamp now) const
 {
-    const double taken = (occupancy(others, now) + 1) / std::max(1U, m_instance->slots);
-    return std::clamp((taken - crowdedFrom) / (1 - crowdedFrom), 0.0, 1.0);
+    const double takenShare = (occupancy(otherRequests, now) + 1) / std::max(1U, m_instance->slots);
+    return std::clamp((takenShare - crowdedFrom) / (1 - crowdedFrom), 0.0, 1.0);
 }
 
 ////////////////////////////////////////////////////////////
-bool ServerView::full(const Usual& usual, core::Timestamp now) const
+bool ServerView::wouldLoseThroughput(const Baseline& baseline, core::Timestamp now) const
 {
     const double slots = std::max(1U, m_instance->slots);
-    const auto   rate = [&](double requests)
+    const auto   throughput = [&](double requests)
     {
         const double crowding = std::clamp((requests / slots - crowdedFrom) / (1 - crowdedFrom), 0.0, 1.0);
-        return std::min(requests, slots) / (1 + (usual.fullSlowdown - 1) * crowding);
+        return std::min(requests, slots) / (1 + (baseline.crowdedSlowdown - 1) * crowding);
     };
-    const double most = occupancy(usual.others, now) + 1;
-    for (double requests = 1; requests < most; ++requests)
+    const double next = occupancy(baseline.otherRequests, now) + 1;
+    for (double requests = 1; requests < next; ++requests)
     {
-        if (rate(requests) >= rate(most))
+        if (throughput(requests) >= throughput(next))
             return true;
     }
     return false;
 }
 
 ////////////////////////////////////////////////////////////
-double ServerView::finishMs(double workMs, const Usual& usual, core::Timestamp now) const
+double ServerView::finishMs(double workMs, const Baseline& baseline, core::Timestamp now) const
 {
     const double slots = std::max(1U, m_instance->slots);
-    const double ahead = std::max(0.0, occupancy(usual.others, now) + 1 - slots);
-    double       speed = paceNow(usual.pace, now) * ratio();
-    speed *= 1 + (usual.fullSlowdown - 1) * crowding(usual.others, now);
-    double time = speed * (workMs + ahead / slots * usual.workMs);
+    const double queued = std::max(0.0, occupancy(baseline.otherRequests, now) + 1 - slots);
+    double       slowdown = currentSlowdown(baseline.slowdown, now) * latencyRatio();
+    slowdown *= 1 + (baseline.crowdedSlowdown - 1) * crowding(baseline.otherRequests, now);
+    double finish = slowdown * (workMs + queued / slots * baseline.workMs);
     if (m_instance->dataCentre != m_settings.dataCentre)
-        time += core::toMilliseconds(m_settings.otherDataCentre);
-    if (m_idle == 0)
-        time += core::toMilliseconds(m_settings.connectCost);
-    if (now < m_shedUntil)
-        time += 4 * usual.workMs;
-    return time;
+        finish += core::toMilliseconds(m_settings.otherDataCentre);
+    if (m_idleConnections == 0)
+        finish += core::toMilliseconds(m_settings.connectCost);
+    if (now < m_assumedFullUntil)
+        finish += 4 * baseline.workMs;
+    return finish;
 }
 
 ////////////////////////////////////////////////////////////
-double ServerView::occupancy(double others, core::Timestamp now) const
+double ServerView::occupancy(double otherRequests, core::Timestamp now) const
 {
-    double elsewhere = others;
+    double estimate = otherRequests;
     if (m_report)
     {
         const double age = core::toMilliseconds(now - m_report->at);
-        const double worth = std::exp(-age / core::toMilliseconds(m_settings.reportLife));
-        elsewhere = others + worth * (m_report->others - others);
+        const double weight = std::exp(-age / core::toMilliseconds(m_settings.reportLife));
+        estimate = otherRequests + weight * (m_report->otherRequests - otherRequests);
     }
-    return m_inFlight + elsewhere;
+    return m_inFlight + estimate;
 }
 
 ////////////////////////////////////////////////////////////
-double ServerView::paceNow(double usual, core::Timestamp now) const
+double ServerView::currentSlowdown(double baseline, core::Timestamp now) const
 {
     // What a cold instance reports has its slowness in it already: counted twice, work that it can do in time would be
     // held to be late there, and instances that came back cold would stand idle.
-    const double expected = usual * (cold(now) ? coldPace : 1);
+    const double expected = baseline * (cold(now) ? coldSlowdown : 1);
     if (!m_report)
         return expected;
     const double age = core::toMilliseconds(now - m_report->at);
-    return expected + std::exp(-age / core::toMilliseconds(m_settings.reportLife)) * (m_report->load.pace - expected);
+    return expected +
+           std::exp(-age / core::toMilliseconds(m_settings.reportLife)) * (m_report->load.slowdown - expected);
 }
 
 ////////////////////////////////////////////////////////////
@@ -345,26 +348,26 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool ServerView::doubtful(core::Timestamp now) const
+bool ServerView::coldUnconfirmed(core::Timestamp now) const
 {
-    return m_doubtful && cold(now);
+    return m_coldUnconfirmed && cold(now);
 }
 
 ////////////////////////////////////////////////////////////
-bool ServerView::hasTurn(double perSecond, core::Timestamp now) const
+bool ServerView::hasColdToken(double perSecond, core::Timestamp now) const
 {
-    return m_turns + perSecond * core::toSeconds(now - m_turnsAt) >= 1;
+    return m_coldTokens + perSecond * core::toSeconds(now - m_coldTokensAt) >= 1;
 }
 
 ////////////////////////////////////////////////////////////
-void ServerView::takeTurn(double perSecond, core::Timestamp now)
+void ServerView::takeColdToken(double perSecond, core::Timestamp now)
 {
-    m_turns = std::min(1.0, m_turns + perSecond * core::toSeconds(now - m_turnsAt)) - 1;
-    m_turnsAt = now;
+    m_coldTokens = std::min(1.0, m_coldTokens + perSecond * core::toSeconds(now - m_coldTokensAt)) - 1;
+    m_coldTokensAt = now;
 }
 
 ////////////////////////////////////////////////////////////
-bool ServerView::newcomer() const
+bool ServerView::isNewcomer() const
 {
     // What it told while it was cold says little of it: those who were told then would not look there again.
     return m_joined && (!m_report || m_report->at < m_coldUntil);
@@ -377,9 +380,9 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::optional<double> ServerView::reportedOthers() const
+std::optional<double> ServerView::reportedOtherRequests() const
 {
-    return m_report ? std::optional<double>(m_report->others) : std::nullopt;
+    return m_report ? std::optional<double>(m_report->otherRequests) : std::nullopt;
 }
 
 ////////////////////////////////////////////////////////////
@@ -395,21 +398,21 @@
 }
 
 ////////////////////////////////////////////////////////////
-unsigned ServerView::open() const
+unsigned ServerView::openConnections() const
 {
-    return m_open;
+    return m_openConnections;
 }
 
 ////////////////////////////////////////////////////////////
-unsigned ServerView::idle() const
+unsigned ServerView::idleConnections() const
 {
-    return m_idle;
+    return m_idleConnections;
 }
 
 ////////////////////////////////////////////////////////////
-double ServerView::ratio() const
+double ServerView::latencyRatio() const
 {
-    return std::max(leastRatio, m_ratio);
+    return std::max(minLatencyRatio, m_latencyRatio);
 }
 
 } // namespace sailpath::balance
--- a/src/sailpath/balance/ServicePool.cpp
+++ b/src/sailpath/balance/ServicePool.cpp
@@ -7,25 +7,25 @@
 {
 namespace
 {
-constexpr double      goodGain = 0.05;        // Share of one probe in the share of good servers
-constexpr double      mostSuspects = 1.0 / 3; // Of a service's servers at once: the others could hardly bear more
-constexpr double      witnessFadeMs = 4000;   // How fast failures that nodes saw are forgotten, on average
-constexpr double      probeShare = 0.8;       // Of the budget for probes that is used
-constexpr unsigned    leastConnections = 2;
-constexpr std::size_t mostRemembered = 256; // Removed instances; what is forgotten is heard again with one answer
-constexpr auto        urgentFor = std::chrono::seconds{5}; // After its last request a route counts as under way
+constexpr double      goodShareGain = 0.05;      // Share of one probe in the share of good servers
+constexpr double      maxSuspectShare = 1.0 / 3; // Of a service's servers at once: the others could hardly bear more
+constexpr double      observationDecayMs = 4000; // How fast failures that nodes saw are forgotten, on average
+constexpr double      probeShare = 0.8;          // Of the budget for probes that is used
+constexpr unsigned    minConnections = 2;
+constexpr std::size_t maxRemovedServers = 256; // Removed instances; what is forgotten is heard again with one answer
+constexpr auto        routeActiveFor = std::chrono::seconds{5}; // After its last request a route counts as under way
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-ServicePool::ServicePool(std::string name, const Settings& settings, core::Timestamp born) :
+ServicePool::ServicePool(std::string name, const Settings& settings, core::Timestamp startedAt) :
 m_name(std::move(name)),
 m_settings(settings),
-m_own(settings.self, settings.dataCentre, settings.ownServers),
-m_retries(settings.retryWindow, settings.retryRatio, born),
-m_probes(born),
+m_subset(settings.self, settings.dataCentre, settings.ownServers),
+m_retries(settings.retryWindow, settings.retryRatio, startedAt),
+m_probes(startedAt),
 m_work(settings.firstWork),
-m_warmUpLimit(settings.self, born)
+m_warmUpLimit(settings.self, startedAt)
 {
 }
 
@@ -33,23 +33,23 @@
 void ServicePool::setRule(const deployment::ServiceRule& rule, unsigned nodes)
 {
     m_healthPath = rule.healthPath;
-    m_nodes = std::max(1U, nodes);
+    m_nodeCount = std::max(1U, nodes);
     m_warmUp = rule.warmUp;
     m_warmUpLimit.setBound({rule.warmUpRate, m_settings.warmUpExcess, m_settings.warmUpSlack});
-    setConnections(rule.connections, nodes);
+    setConnectionLimit(rule.connections, nodes);
 }
 
 ////////////////////////////////////////////////////////////
 bool ServicePool::mayProbe() const
 {
-    const bool mayTell = m_tellsLoad || m_answersWithoutLoad < m_settings.firstProbes;
-    return m_settings.probing && mayTell && !m_healthPath.empty();
+    const bool mayReport = m_reportsLoad || m_answersWithoutLoad < m_settings.firstProbes;
+    return m_settings.probing && mayReport && !m_healthPath.empty();
 }
 
 ////////////////////////////////////////////////////////////
 bool ServicePool::takeProbe(core::Timestamp now)
 {
-    return m_probes.take(probeShare * m_settings.probeRate * static_cast<double>(m_servers.size()) / m_nodes, now);
+    return m_probes.take(probeShare * m_settings.probeRate * static_cast<double>(m_servers.size()) / m_nodeCount, now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -59,10 +59,10 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServicePool::setConnections(unsigned instanceLimit, unsigned nodes)
+void ServicePool::setConnectionLimit(unsigned instanceLimit, unsigned nodes)
 {
     const double part = m_settings.connectionShare * instanceLimit / std::max(1U, nodes);
-    m_connections = instanceLimit == 0 ? 0 : std::max(leastConnections, static_cast<unsigned>(part));
+    m_connectionLimit = instanceLimit == 0 ? 0 : std::max(minConnections, static_cast<unsigned>(part));
 }
 
 ////////////////////////////////////////////////////////////
@@ -72,28 +72,28 @@
     std::set<std::string_view> listed;
     for (const deployment::Instance& instance : instances)
         listed.insert(instance.id);
-    std::vector<std::string> gone;
+    std::vector<std::string> removedIds;
     for (const auto& [id, server] : m_byId)
     {
         if (!listed.contains(id))
-            gone.push_back(id);
+            removedIds.push_back(id);
     }
-    const bool anew = m_byId.empty();
+    const bool wasEmpty = m_byId.empty();
     setEvacuated(evacuated, now);
-    for (const std::string& id : gone)
+    for (const std::string& id : removedIds)
         remove(id);
     for (deployment::Instance& instance : instances)
-        add(std::move(instance), !anew, now, evacuated);
+        add(std::move(instance), !wasEmpty, now, evacuated);
 }
 
 ////////////////////////////////////////////////////////////
-void ServicePool::put(deployment::Instance instance, core::Timestamp now, const std::set<std::string>& evacuated)
+void ServicePool::upsert(deployment::Instance instance, core::Timestamp now, const std::set<std::string>& evacuated)
 {
     add(std::move(instance), !m_servers.empty(), now, evacuated);
 }
 
 ////////////////////////////////////////////////////////////
-void ServicePool::add(deployment::Instance instance, bool joins, core::Timestamp now,
+void ServicePool::add(deployment::Instance instance, bool isJoining, core::Timestamp now,
                       const std::set<std::string>& evacuated)
 {
     const auto known = m_byId.find(instance.id);
@@ -108,16 +108,16 @@
         remove(std::string(instance.id));
     const std::string id = instance.id;
     const auto        server = std::make_shared<ServerView>(std::move(instance), m_settings, now);
-    const auto        removed = std::find_if(m_removed.begin(), m_removed.end(),
+    const auto        removed = std::find_if(m_removedServers.begin(), m_removedServers.end(),
                                              [&](const auto& known) { return known->instance()->id == id; });
-    if (removed != m_removed.end())
+    if (removed != m_removedServers.end())
     {
         if (deployment::sameLife(*(*removed)->instance(), *server->instance()))
-            server->keepNotices((*removed)->notices());
-        m_removed.erase(removed);
+            server->restoreNotices((*removed)->notices());
+        m_removedServers.erase(removed);
     }
-    if (joins)
-        server->joined();
+    if (isJoining)
+        server->markJoined();
     m_byId.emplace(id, server);
     m_byHash[deployment::lifeHash(*server->instance())] = server;
     if (evacuated.contains(server->instance()->dataCentre))
@@ -128,7 +128,7 @@
     else
     {
         m_servers.push_back(server);
-        m_own.added(server);
+        m_subset.add(server);
     }
 }
 
@@ -139,7 +139,7 @@
     if (known == m_byId.end())
         return;
     known->second->retire();
-    remember(known->second);
+    retainNotices(known->second);
     const auto hash = m_byHash.find(deployment::lifeHash(*known->second->instance()));
     if (hash != m_byHash.end() && hash->second == known->second)
         m_byHash.erase(hash);
@@ -148,67 +148,69 @@
     else
     {
         m_servers.erase(std::find(m_servers.begin(), m_servers.end(), known->second));
-        m_own.removed(known->second, m_servers);
+        m_subset.remove(known->second, m_servers);
     }
     m_byId.erase(known);
 }
 
 ////////////////////////////////////////////////////////////
-void ServicePool::remember(const std::shared_ptr<ServerView>& server)
+void ServicePool::retainNotices(const std::shared_ptr<ServerView>& server)
 {
     if (server->notices().empty())
         return;
-    m_removed.push_back(server);
-    if (m_removed.size() > mostRemembered)
-        m_removed.pop_front();
+    m_removedServers.push_back(server);
+    if (m_removedServers.size() > maxRemovedServers)
+        m_removedServers.pop_front();
 }
 
 ////////////////////////////////////////////////////////////
-std::uint64_t ServicePool::looked() const
+std::uint64_t ServicePool::examinedCount() const
 {
-    return m_looked;
+    return m_examinedCount;
 }
 
 ////////////////////////////////////////////////////////////
-const ServerSubset& ServicePool::own() const
+const ServerSubset& ServicePool::subset() const
 {
-    return m_own;
+    return m_subset;
 }
 
 ////////////////////////////////////////////////////////////
 void ServicePool::setEvacuated(const std::set<std::string>& evacuated, core::Timestamp now)
 {
-    if (evacuated == m_evacuatedCentres)
+    if (evacuated == m_evacuatedDataCentres)
         return;
-    m_evacuatedCentres = evacuated;
+    m_evacuatedDataCentres = evacuated;
     m_servers.clear();
     for (const auto& [id, server] : m_byId)
     {
-        const bool leaves = evacuated.contains(server->instance()->dataCentre);
-        if (leaves)
+        const bool isEvacuated = evacuated.contains(server->instance()->dataCentre);
+        if (isEvacuated)
             server->evacuate();
         else if (server->evacuated())
-            server->takenBack(m_warmUp, now);
-        if (!leaves)
+            server->reinstate(m_warmUp, now);
+        if (!isEvacuated)
             m_servers.push_back(server);
     }
     m_evacuated = m_byId.size() - m_servers.size();
-    m_own.reset(m_servers);
+    m_subset.reset(m_servers);
 }
 
 ////////////////////////////////////////////////////////////
-std::shared_ptr<const deployment::Instance> ServicePool::failedElsewhere(const deployment::ServerFailure& failure,
-                                                                         core::Timestamp                  now)
+std::shared_ptr<const deployment::Instance> ServicePool::recordRemoteFailure(const deployment::ServerFailure& failure,
+                                                                             core::Timestamp                  now)
 {
     const auto found = m_byHash.find(failure.server);
     if (found == m_byHash.end())
         return nullptr;
-    m_witnesses = m_witnesses * std::exp(-core::toMilliseconds(now - m_witnessesAt) / witnessFadeMs) + 1;
-    m_witnessesAt = now;
+    m_failureObservations =
+        m_failureObservations * std::exp(-core::toMilliseconds(now - m_failureObservationsAt) / observationDecayMs) + 1;
+    m_failureObservationsAt = now;
     ServerView& server = *found->second;
-    if (!server.failedElsewhere(failure.node, m_witnesses, m_servers.size(), now) || !mayAvoidOneMore(now))
+    if (!server.recordRemoteFailure(failure.node, m_failureObservations, m_servers.size(), now) ||
+        !maySuspectOneMore(now))
         return nullptr;
-    server.suspectFrom(now);
+    server.markSuspect(now);
     return server.instance();
 }
 
@@ -224,16 +226,16 @@
 }
 
 ////////////////////////////////////////////////////////////
-ServerNotice ServicePool::noticed(const deployment::Instance& instance, const ServerNotice& notice, double spread,
-                                  core::Timestamp now)
+ServerNotice ServicePool::applyNotice(const deployment::Instance& instance, const ServerNotice& notice, double spread,
+                                      core::Timestamp now)
 {
     const auto sameLife = [&](const std::shared_ptr<ServerView>& server)
     { return deployment::sameLife(*server->instance(), instance); };
     if (const auto server = find(instance.id))
-        return sameLife(server) ? server->noticed(notice, spread, now) : ServerNotice{};
+        return sameLife(server) ? server->applyNotice(notice, spread, now) : ServerNotice{};
     // Its entry may be gone only for a while: answers that are still under way speak for it.
-    const auto removed = std::find_if(m_removed.begin(), m_removed.end(), sameLife);
-    return removed != m_removed.end() ? (*removed)->noticed(notice, spread, now) : ServerNotice{};
+    const auto removed = std::find_if(m_removedServers.begin(), m_removedServers.end(), sameLife);
+    return removed != m_removedServers.end() ? (*removed)->applyNotice(notice, spread, now) : ServerNotice{};
 }
 
 ////////////////////////////////////////////////////////////
@@ -255,7 +257,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool ServicePool::anyLimited(core::Timestamp now) const
+bool ServicePool::hasLimitedInstance(core::Timestamp now) const
 {
     // As a rule nobody is limited, and then no server is looked at: a service may have a thousand.
     m_mayBeLimited = m_mayBeLimited && std::any_of(m_servers.begin(), m_servers.end(),
@@ -264,7 +266,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServicePool::limited()
+void ServicePool::markLimited()
 {
     m_mayBeLimited = true;
 }
@@ -272,41 +274,41 @@
 ////////////////////////////////////////////////////////////
 double ServicePool::openness(core::Timestamp now) const
 {
-    double most = 0;
+    double highest = 0;
     for (const auto& server : m_servers)
     {
         if (const SharedLimit* limit = server->limit(now))
-            most = std::max(most, limit->openness(now));
+            highest = std::max(highest, limit->openness(now));
     }
-    return most;
+    return highest;
 }
 
 ////////////////////////////////////////////////////////////
-unsigned ServicePool::moreUrgent(unsigned rank, core::Timestamp now) const
+unsigned ServicePool::countMoreUrgentRanks(unsigned rank, core::Timestamp now) const
 {
     std::set<unsigned> ranks;
     for (const auto& [name, route] : m_routes)
     {
-        if (route.rank < rank && now - route.at <= urgentFor)
+        if (route.rank < rank && now - route.lastRequestAt <= routeActiveFor)
             ranks.insert(route.rank);
     }
     return static_cast<unsigned>(ranks.size());
 }
 
 ////////////////////////////////////////////////////////////
-bool ServicePool::mayAvoidOneMore(core::Timestamp now) const
+bool ServicePool::maySuspectOneMore(core::Timestamp now) const
 {
     const auto suspects =
-        std::count_if(m_servers.begin(), m_servers.end(), [now](const auto& server) { return server->suspect(now); });
-    return static_cast<double>(suspects + 1) <= mostSuspects * static_cast<double>(m_servers.size());
+        std::count_if(m_servers.begin(), m_servers.end(), [now](const auto& server) { return server->isSuspect(now); });
+    return static_cast<double>(suspects + 1) <= maxSuspectShare * static_cast<double>(m_servers.size());
 }
 
 ////////////////////////////////////////////////////////////
-void ServicePool::sent(ServerView& server, core::Timestamp now)
+void ServicePool::recordSent(ServerView& server, core::Timestamp now)
 {
-    server.sent(now);
+    server.recordSent(now);
     if (server.cold(now))
-        server.takeTurn(m_warmUpLimit.rate(), now);
+        server.takeColdToken(m_warmUpLimit.ratePerNode(), now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -316,44 +318,44 @@
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration ServicePool::arrived(const deployment::HostRoute& route, std::optional<core::Duration> timeLeft,
-                                    core::Timestamp now)
+core::Duration ServicePool::recordArrival(const deployment::HostRoute& route, std::optional<core::Duration> timeLeft,
+                                          core::Timestamp now)
 {
-    RouteSeen& seen = m_routes[route.name];
-    seen.rank = route.priority;
-    seen.target = route.targetLatency;
-    seen.at = now;
-    return timeLeft ? seen.patience.heard(*timeLeft) : core::Duration{};
+    RouteActivity& activity = m_routes[route.name];
+    activity.rank = route.priority;
+    activity.targetLatency = route.targetLatency;
+    activity.lastRequestAt = now;
+    return timeLeft ? activity.callerElapsed.observe(*timeLeft) : core::Duration{};
 }
 
 ////////////////////////////////////////////////////////////
-void ServicePool::letIn(unsigned rank, core::Timestamp now)
+void ServicePool::recordAdmitted(unsigned rank, core::Timestamp now)
 {
-    m_pressure[rank].letIn(now);
+    m_pressure[rank].recordAdmitted(now);
 }
 
 ////////////////////////////////////////////////////////////
-void ServicePool::turnedAway(unsigned rank, core::Timestamp now)
+void ServicePool::recordRejected(unsigned rank, core::Timestamp now)
 {
-    m_pressure[rank].turnedAway(now);
+    m_pressure[rank].recordRejected(now);
 }
 
 ////////////////////////////////////////////////////////////
-bool ServicePool::pressed(unsigned rank, core::Timestamp now) const
+bool ServicePool::underPressure(unsigned rank, core::Timestamp now) const
 {
     return std::any_of(m_pressure.begin(), m_pressure.upper_bound(rank),
-                       [now](const auto& each) { return each.second.any(now); });
+                       [now](const auto& entry) { return entry.second.active(now); });
 }
 
 ////////////////////////////////////////////////////////////
-bool ServicePool::highlyPressed(unsigned rank, core::Timestamp now) const
+bool ServicePool::underHighPressure(unsigned rank, core::Timestamp now) const
 {
     return std::any_of(m_pressure.begin(), m_pressure.upper_bound(rank),
-                       [now](const auto& each) { return each.second.high(now); });
+                       [now](const auto& entry) { return entry.second.high(now); });
 }
 
 ////////////////////////////////////////////////////////////
-const std::unordered_map<std::string, RouteSeen>& ServicePool::routes() const
+const std::unordered_map<std::string, RouteActivity>& ServicePool::routes() const
 {
     return m_routes;
 }
@@ -361,19 +363,19 @@
 ////////////////////////////////////////////////////////////
 double ServicePool::finishMs(const ServerView& server, std::string_view route, core::Timestamp now) const
 {
-    return server.finishMs(m_work.ms(route), m_work.usual(), now);
+    return server.finishMs(m_work.ms(route), m_work.baseline(), now);
 }
 
 ////////////////////////////////////////////////////////////
-bool ServicePool::full(const ServerView& server, core::Timestamp now) const
+bool ServicePool::wouldLoseThroughput(const ServerView& server, core::Timestamp now) const
 {
-    return server.full(m_work.usual(), now);
+    return server.wouldLoseThroughput(m_work.baseline(), now);
 }
 
 ////////////////////////////////////////////////////////////
-void ServicePool::noteFound(bool good)
+void ServicePool::recordProbeResult(bool good)
 {
-    m_goodShare += goodGain * ((good ? 1 : 0) - m_goodShare);
+    m_goodShare += goodShareGain * ((good ? 1 : 0) - m_goodShare);
 }
 
 ////////////////////////////////////////////////////////////
@@ -383,7 +385,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServicePool::learnNoLoad()
+void ServicePool::recordMissingLoad()
 {
     ++m_answersWithoutLoad;
 }
@@ -413,31 +415,31 @@
 }
 
 ////////////////////////////////////////////////////////////
-Shortage ServicePool::shortage(core::Timestamp now) const
+NoServerReason ServicePool::noServerReason(core::Timestamp now) const
 {
     if (m_servers.empty())
-        return m_evacuated > 0 ? Shortage::Evacuated : Shortage::Other;
-    Shortage soonest = Shortage::Leaving;
+        return m_evacuated > 0 ? NoServerReason::Evacuated : NoServerReason::Other;
+    NoServerReason soonest = NoServerReason::Leaving;
     for (const auto& server : m_servers)
     {
-        const Shortage its = shortageOf(*server, now);
-        if (its == Shortage::Other)
-            return its;
-        soonest = std::min(soonest, its);
+        const NoServerReason reason = noServerReasonOf(*server, now);
+        if (reason == NoServerReason::Other)
+            return reason;
+        soonest = std::min(soonest, reason);
     }
     return soonest;
 }
 
 ////////////////////////////////////////////////////////////
-Shortage ServicePool::shortageOf(const ServerView& server, core::Timestamp now)
+NoServerReason ServicePool::noServerReasonOf(const ServerView& server, core::Timestamp now)
 {
     if (server.notices().leaving())
-        return Shortage::Leaving;
+        return NoServerReason::Leaving;
     if (!server.notices().takesOneMore(now))
-        return Shortage::BackOff;
+        return NoServerReason::BackOff;
     if (server.limit(now) != nullptr)
-        return Shortage::Limited;
-    return server.cold(now) ? Shortage::Cold : Shortage::Other;
+        return NoServerReason::Limited;
+    return server.cold(now) ? NoServerReason::Cold : NoServerReason::Other;
 }
 
 ////////////////////////////////////////////////////////////
@@ -446,7 +448,7 @@
     auto shortest = core::Duration::max();
     for (const auto& server : m_servers)
     {
-        if (shortageOf(*server, now) == Shortage::BackOff)
+        if (noServerReasonOf(*server, now) == NoServerReason::BackOff)
             shortest = std::min(shortest, server->notices().backOffLeft(now));
     }
     return shortest == core::Duration::max() ? core::Duration{} : shortest;
@@ -460,22 +462,22 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServicePool::learnLoad(double pace, std::optional<double> others)
+void ServicePool::learnLoad(double slowdown, std::optional<double> otherRequests)
 {
-    m_tellsLoad = true;
-    m_work.learnPace(pace);
-    if (others)
-        m_work.learnOthers(*others);
+    m_reportsLoad = true;
+    m_work.learnSlowdown(slowdown);
+    if (otherRequests)
+        m_work.learnOtherRequests(*otherRequests);
 }
 
 ////////////////////////////////////////////////////////////
-UsualWork& ServicePool::work()
+WorkEstimator& ServicePool::work()
 {
     return m_work;
 }
 
 ////////////////////////////////////////////////////////////
-const UsualWork& ServicePool::work() const
+const WorkEstimator& ServicePool::work() const
 {
     return m_work;
 }
--- a/src/sailpath/balance/WarmUpLimit.cpp
+++ b/src/sailpath/balance/WarmUpLimit.cpp
@@ -7,16 +7,17 @@
 {
 namespace
 {
-constexpr auto   youth = std::chrono::seconds{2}; // A node that starts has heard of all others by then; also longer
-                                                  // than the second over which a former life's requests count
-constexpr double viewShare = 2.0 / 3;             // Of the fleet that a node may know and the bound still holds
+constexpr auto startupDelay =
+    std::chrono::seconds{2};              // A node that starts has heard of all others by then; also longer
+                                          // than the second over which a former life's requests count
+constexpr double minKnownShare = 2.0 / 3; // Of the fleet that a node may know and the bound still holds
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-WarmUpLimit::WarmUpLimit(std::uint32_t self, core::Timestamp born) :
+WarmUpLimit::WarmUpLimit(std::uint32_t self, core::Timestamp startedAt) :
 m_self(self),
-m_from(born + youth)
+m_sendFrom(startedAt + startupDelay)
 {
 }
 
@@ -37,28 +38,28 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool WarmUpLimit::limits() const
+bool WarmUpLimit::hasBound() const
 {
     return m_bound.rate > 0;
 }
 
 ////////////////////////////////////////////////////////////
-unsigned WarmUpLimit::senders() const
+unsigned WarmUpLimit::senderCount() const
 {
     const double bound = m_bound.rate * m_bound.excess + m_bound.slack;
-    return static_cast<unsigned>(std::max(1.0, viewShare * bound - m_bound.rate));
+    return static_cast<unsigned>(std::max(1.0, minKnownShare * bound - m_bound.rate));
 }
 
 ////////////////////////////////////////////////////////////
-double WarmUpLimit::rate() const
+double WarmUpLimit::ratePerNode() const
 {
-    return m_bound.rate / senders();
+    return m_bound.rate / senderCount();
 }
 
 ////////////////////////////////////////////////////////////
-bool WarmUpLimit::chosen(std::uint32_t instance, core::Timestamp now)
+bool WarmUpLimit::isChosen(std::uint32_t instance, core::Timestamp now)
 {
-    if (now < m_from)
+    if (now < m_sendFrom)
         return false;
     const auto [found, added] = m_chosen.try_emplace(instance, false);
     if (added)
@@ -71,10 +72,11 @@
 {
     if (std::find(m_members.begin(), m_members.end(), m_self) == m_members.end())
         return false;
-    const std::uint64_t own = core::mix(m_self, instance);
-    const auto          heavier = std::count_if(m_members.begin(), m_members.end(),
-                                                [&](std::uint32_t member) { return core::mix(member, instance) > own; });
-    return heavier < static_cast<std::ptrdiff_t>(senders());
+    const std::uint64_t ownWeight = core::mix(m_self, instance);
+    const auto          higherRanked =
+        std::count_if(m_members.begin(), m_members.end(),
+                      [&](std::uint32_t member) { return core::mix(member, instance) > ownWeight; });
+    return higherRanked < static_cast<std::ptrdiff_t>(senderCount());
 }
 
 } // namespace sailpath::balance
--- /dev/null
+++ b/src/sailpath/balance/WorkEstimator.cpp
@@ -0,0 +1,106 @@
+#include <sailpath/balance/WorkEstimator.hpp>
+
+#include <algorithm>
+
+namespace sailpath::balance
+{
+namespace
+{
+constexpr double   otherRequestsGain = 0.05;     // Share of one report in the pool's mean
+constexpr double   slowdownGain = 0.03;          // Share of one report in the pool's mean
+constexpr double   workGain = 0.05;              // Share of one answer in the usual work
+constexpr double   crowdedAbove = 0.5;           // Crowding from which an answer tells of the slowdown
+constexpr double   crowdedSlowdownGain = 0.03;   // Share of one answer in the slowdown of crowded instances
+constexpr double   initialCrowdedSlowdown = 1.4; // Of crowded instances, until answers tell
+constexpr double   maxCrowdedSlowdown = 4;
+constexpr unsigned minAnswers = 3; // Of a route, before its usual work is relied on
+constexpr auto     firstExplorationInterval = std::chrono::milliseconds{250}; // Doubles
+constexpr unsigned maxExplorationDoublings = 5;                               // To 8 s
+
+} // namespace
+
+////////////////////////////////////////////////////////////
+WorkEstimator::WorkEstimator(core::Duration initialWork) :
+m_baseline{core::toMilliseconds(initialWork), 0, 1, initialCrowdedSlowdown}
+{
+}
+
+////////////////////////////////////////////////////////////
+bool WorkEstimator::allowExploration(std::string_view route, core::Timestamp now)
+{
+    const auto found = m_routes.find(std::string(route));
+    if (found == m_routes.end())
+        return true;
+    RouteWork& work = found->second;
+    if (work.answers >= minAnswers || now < work.nextExploration)
+        return false;
+    work.nextExploration =
+        now + firstExplorationInterval * (1U << std::min(work.explorations, maxExplorationDoublings));
+    ++work.explorations;
+    return true;
+}
+
+////////////////////////////////////////////////////////////
+void WorkEstimator::setInitialEstimate(std::string_view route, double ms)
+{
+    const bool isFirstRoute = m_routes.empty();
+    if (m_routes.try_emplace(std::string(route), RouteWork{ms, 0}).second && isFirstRoute)
+        m_baseline.workMs = ms;
+}
+
+////////////////////////////////////////////////////////////
+void WorkEstimator::learnOtherRequests(double otherRequests)
+{
+    m_baseline.otherRequests += otherRequestsGain * (otherRequests - m_baseline.otherRequests);
+}
+
+////////////////////////////////////////////////////////////
+void WorkEstimator::learnSlowdown(double slowdown)
+{
+    m_baseline.slowdown += slowdownGain * (slowdown - m_baseline.slowdown);
+}
+
+////////////////////////////////////////////////////////////
+void WorkEstimator::learn(std::string_view route, double latencyMs, double expectedMs, double crowding)
+{
+    const double observedRatio = std::clamp(latencyMs / std::max(1.0, expectedMs), 0.1, 5.0);
+    RouteWork&   work = m_routes.try_emplace(std::string(route), RouteWork{m_baseline.workMs, 0}).first->second;
+    // The first answers count for more: the start is only what other routes take.
+    ++work.answers;
+    const bool crowded = crowding > crowdedAbove && work.answers > minAnswers;
+    if (crowded)
+    {
+        const double initialShare = 1.0 / (++m_crowdedAnswers + 4);
+        const double share = std::max(crowdedSlowdownGain, initialShare);
+        m_baseline.crowdedSlowdown = std::clamp(
+            m_baseline.crowdedSlowdown * (1 + share * (observedRatio / m_uncrowdedRatio - 1)), 1.0, maxCrowdedSlowdown);
+    }
+    else
+        m_uncrowdedRatio += crowdedSlowdownGain * (observedRatio - m_uncrowdedRatio);
+    // What a crowded instance takes longer is mostly the crowding's doing.
+    const double gain = crowded ? workGain / 5 : std::max(workGain, 1.0 / (work.answers + 1));
+    work.ms *= 1 + gain * (observedRatio - 1);
+    m_baseline.workMs += workGain * (work.ms - m_baseline.workMs);
+}
+
+////////////////////////////////////////////////////////////
+double WorkEstimator::ms(std::string_view route) const
+{
+    const auto known = m_routes.find(std::string(route));
+    return known == m_routes.end() ? m_baseline.workMs : known->second.ms;
+}
+
+////////////////////////////////////////////////////////////
+bool WorkEstimator::hasLearned(std::string_view route) const
+{
+    const auto known = m_routes.find(std::string(route));
+    return known != m_routes.end() && known->second.answers >= minAnswers;
+}
+
+////////////////////////////////////////////////////////////
+const Baseline& WorkEstimator::baseline() const
+{
+    return m_baseline;
+}
+
+} // namespace sailpath::balance
--- a/test/balance/CallerPatience.test.cpp
+++ b/test/balance/CallerElapsedEstimator.test.cpp
@@ -1,4 +1,4 @@
-#include <sailpath/balance/CallerPatience.hpp>
+#include <sailpath/balance/CallerElapsedEstimator.hpp>
 #include <sailpath/core/Random.hpp>
 
 #include <boost/test/unit_test.hpp>
@@ -7,7 +7,7 @@
 {
 using namespace sailpath;
 using namespace std::chrono_literals;
-using balance::CallerPatience;
+using balance::CallerElapsedEstimator;
 
 ////////////////////////////////////////////////////////////
 /// \brief A caller's whole time, drawn from the last part of it
@@ -23,24 +23,24 @@
 
 BOOST_AUTO_TEST_CASE(WhereCallersBeginWithTheSameTimeOneThatComesBackIsKnown)
 {
-    CallerPatience patience;
+    CallerElapsedEstimator estimator;
     for (int i = 0; i < 40; ++i)
-        (void)patience.heard(i % 3 == 0 ? 3982ms : 4000ms); // Some had to connect first
-    BOOST_TEST(patience.alike());
-    BOOST_TEST((patience.heard(4000ms) == 0ms));
-    BOOST_TEST((patience.heard(3700ms) == 300ms));
+        (void)estimator.observe(i % 3 == 0 ? 3982ms : 4000ms); // Some had to connect first
+    BOOST_TEST(estimator.timeoutsAreUniform());
+    BOOST_TEST((estimator.observe(4000ms) == 0ms));
+    BOOST_TEST((estimator.observe(3700ms) == 300ms));
 }
 
 BOOST_AUTO_TEST_CASE(WhereCallersBeginWithDifferentTimesNobodyIsTakenForLate)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
-        core::Random   random(seed);
-        CallerPatience patience;
-        unsigned       doubted = 0;
+        core::Random           random(seed);
+        CallerElapsedEstimator estimator;
+        unsigned               misjudged = 0;
         for (int i = 0; i < 500; ++i)
-            doubted += patience.heard(wholeTime(random, 0.16)) > 100ms ? 1 : 0;
-        BOOST_TEST(doubted <= 25U, "seed " << seed << ": " << doubted);
+            misjudged += estimator.observe(wholeTime(random, 0.16)) > 100ms ? 1 : 0;
+        BOOST_TEST(misjudged <= 25U, "seed " << seed << ": " << misjudged);
     }
 }
 
@@ -50,17 +50,17 @@
     unsigned all = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
-        core::Random   random(seed);
-        CallerPatience patience;
+        core::Random           random(seed);
+        CallerElapsedEstimator estimator;
         for (int i = 0; i < 60; ++i)
-            (void)patience.heard(4000ms);
+            (void)estimator.observe(4000ms);
         for (int i = 0; i < 500; ++i)
         {
             // Each is refused twice and comes back after 100 to 300 ms.
             const auto back = core::fromMilliseconds(100 + 200 * random.unit());
             const auto tries = random.below(3);
-            (void)patience.heard(4000ms - tries * back);
-            lost += patience.alike() ? 0 : 1;
+            (void)estimator.observe(4000ms - tries * back);
+            lost += estimator.timeoutsAreUniform() ? 0 : 1;
             ++all;
         }
     }
@@ -69,18 +69,18 @@
 
 BOOST_AUTO_TEST_CASE(OneOddCallerMakesNobodyLate)
 {
-    CallerPatience patience;
+    CallerElapsedEstimator estimator;
     for (int i = 0; i < 40; ++i)
-        (void)patience.heard(4000ms);
-    (void)patience.heard(60s);
-    BOOST_TEST((patience.heard(4000ms) == 0ms));
+        (void)estimator.observe(4000ms);
+    (void)estimator.observe(60s);
+    BOOST_TEST((estimator.observe(4000ms) == 0ms));
 }
 
 BOOST_AUTO_TEST_CASE(NothingIsBelievedOfTheFirst)
 {
-    CallerPatience patience;
+    CallerElapsedEstimator estimator;
     for (int i = 0; i < 4; ++i)
-        BOOST_TEST((patience.heard(4000ms - i * 100ms) == 0ms));
+        BOOST_TEST((estimator.observe(4000ms - i * 100ms) == 0ms));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/balance/ColdServers.test.cpp
+++ b/test/balance/ColdServers.test.cpp
@@ -121,10 +121,10 @@
                 WarmUpLimit limit(self, start);
                 limit.setBound({rate, excess, slack});
                 limit.setMembers(members);
-                if (!limit.chosen(instance, start + 5s))
+                if (!limit.isChosen(instance, start + 5s))
                     continue;
                 ++chosen;
-                sum += 1 + limit.rate();
+                sum += 1 + limit.ratePerNode();
             }
             BOOST_TEST(chosen == std::min(nodes, 5U));
             BOOST_TEST(sum <= mostInSecond);
@@ -150,7 +150,7 @@
             WarmUpLimit limit(self, start);
             limit.setBound({rate, excess, slack});
             limit.setMembers(known);
-            sum += limit.chosen(instance, start + 5s) ? 1 + limit.rate() : 0;
+            sum += limit.isChosen(instance, start + 5s) ? 1 + limit.ratePerNode() : 0;
         }
         mean += sum / instances;
     }
@@ -162,10 +162,10 @@
     const auto  members = membersOf(3);
     WarmUpLimit limit(members[0], start);
     limit.setBound({rate, excess, slack});
-    BOOST_TEST(!limit.chosen(1, start + 5s));
+    BOOST_TEST(!limit.isChosen(1, start + 5s));
     limit.setMembers(members);
-    BOOST_TEST(!limit.chosen(1, start + 1s));
-    BOOST_TEST(limit.chosen(1, start + 5s));
+    BOOST_TEST(!limit.isChosen(1, start + 1s));
+    BOOST_TEST(limit.isChosen(1, start + 5s));
 }
 
 BOOST_AUTO_TEST_CASE(EveryServerHasSendersAndTheNodesShareThemEvenly)
@@ -181,7 +181,7 @@
         limit.setMembers(members);
         unsigned count = 0;
         for (std::uint32_t instance = 0; instance < instances; ++instance)
-            count += limit.chosen(instance * 2654435761U, start + 5s) ? 1 : 0;
+            count += limit.isChosen(instance * 2654435761U, start + 5s) ? 1 : 0;
         own.push_back(count);
     }
     BOOST_TEST(*std::min_element(own.begin(), own.end()) >= 25U); // 50 on average
--- a/test/balance/ManyServers.test.cpp
+++ b/test/balance/ManyServers.test.cpp
@@ -52,15 +52,15 @@
     [[nodiscard]] std::set<std::string> own() const
     {
         std::set<std::string> ids;
-        for (const auto& server : pool.own().list())
+        for (const auto& server : pool.subset().servers())
             ids.insert(server->instance()->id);
         return ids;
     }
 
-    balance::Settings    settings;
-    balance::ServicePool pool;
-    core::Random         random{1};
-    balance::Wish        wish{"read", true, {}};
+    balance::Settings          settings;
+    balance::ServicePool       pool;
+    core::Random               random{1};
+    balance::SelectionCriteria wish{"read", true, {}};
 };
 
 } // namespace
@@ -72,12 +72,12 @@
     for (const unsigned servers : {250U, 1000U, 4000U, 20000U})
     {
         Node node(1, servers);
-        node.wish.first = true;
-        const auto before = node.pool.looked();
+        node.wish.firstRound = true;
+        const auto before = node.pool.examinedCount();
         (void)node.pool.choose(node.wish, start, node.random);
-        const auto asked = node.pool.worthProbing(node.wish, {}, 4, start, node.random);
+        const auto asked = node.pool.selectProbeTargets(node.wish, {}, 4, start, node.random);
         BOOST_TEST(asked.size() == 4U);
-        BOOST_TEST(node.pool.looked() - before <= 200U, servers);
+        BOOST_TEST(node.pool.examinedCount() - before <= 200U, servers);
     }
 }
 
@@ -86,10 +86,10 @@
     for (const unsigned servers : {250U, 1000U, 4000U, 20000U})
     {
         Node       node(1, servers);
-        const auto before = node.pool.own().looked();
+        const auto before = node.pool.subset().rankedCount();
         for (unsigned i = 0; i < 10; ++i)
-            node.pool.put(instanceOf(servers + i), start, {});
-        BOOST_TEST(node.pool.own().looked() - before <= 10U, servers);
+            node.pool.upsert(instanceOf(servers + i), start, {});
+        BOOST_TEST(node.pool.subset().rankedCount() - before <= 10U, servers);
         BOOST_TEST(node.pool.size() == servers + 10U);
     }
 }
@@ -141,17 +141,17 @@
 BOOST_AUTO_TEST_CASE(WhenTheWholeSubsetFailsOthersAreFound)
 {
     Node node(1, 1000);
-    for (const auto& server : node.pool.own().list())
+    for (const auto& server : node.pool.subset().servers())
     {
         for (int i = 0; i < 6; ++i)
-            server->failed(start);
+            server->recordFailure(start);
     }
     const auto                        own = node.own();
     std::vector<balance::ServerView*> asked;
     std::set<std::string>             others;
     for (int round = 0; round < 4; ++round)
     {
-        for (const auto& server : node.pool.worthProbing(node.wish, asked, 4, start, node.random))
+        for (const auto& server : node.pool.selectProbeTargets(node.wish, asked, 4, start, node.random))
         {
             asked.push_back(server.get());
             if (!own.contains(server->instance()->id))
@@ -164,14 +164,14 @@
 BOOST_AUTO_TEST_CASE(AServerThatLeftDuringASearchIsNotChosen)
 {
     Node       node(1, 1000);
-    const auto asked = node.pool.worthProbing(node.wish, {}, 4, start, node.random);
+    const auto asked = node.pool.selectProbeTargets(node.wish, {}, 4, start, node.random);
     for (const auto& server : asked)
     {
-        server->reported({0, 0, 3, 0.1}, start);
+        server->recordReport({0, 0, 3, 0.1}, start);
         node.pool.remove(server->instance()->id);
     }
-    node.wish.asked = asked;
-    node.wish.freshest = 15ms;
+    node.wish.probed = asked;
+    node.wish.maxReportAge = 15ms;
     BOOST_TEST(!node.pool.choose(node.wish, start, node.random).server);
 }
 
--- a/test/balance/RetryWindow.test.cpp
+++ b/test/balance/RetryWindow.test.cpp
@@ -40,7 +40,7 @@
     core::Timestamp now{1h};
     RetryWindow     budget(window, ratio, now);
     for (int i = 0; i < 100; ++i)
-        budget.requested(now);
+        budget.recordRequest(now);
     int taken = 0;
     while (budget.take(0, now))
         ++taken;
@@ -56,7 +56,7 @@
         core::Random                              random(seed);
         core::Timestamp                           now{1h};
         std::vector<core::Timestamp>              requests;
-        std::vector<core::Timestamp>              further;
+        std::vector<core::Timestamp>              retries;
         std::vector<std::unique_ptr<RetryWindow>> budgets(nodes);
         for (auto& budget : budgets)
             budget = std::make_unique<RetryWindow>(window, ratio, now);
@@ -70,12 +70,12 @@
                     budget = std::make_unique<RetryWindow>(window, ratio, now);
                 if (random.unit() < (rush ? 0.4 : 0.02))
                 {
-                    budget->requested(now);
+                    budget->recordRequest(now);
                     requests.push_back(now);
                 }
                 // Everything fails all the time, so whatever is allowed is used.
                 if (budget->take(0.6 * extra / nodes, now))
-                    further.push_back(now);
+                    retries.push_back(now);
             }
         }
         for (core::Timestamp from{1h}; from < now; from += 250ms)
@@ -84,7 +84,7 @@
                 std::max({within(requests, from, from + window), within(requests, from - window, from),
                           within(requests, from - window / 2, from + window / 2)});
             const auto allowed = ratio * static_cast<double>(counted) + extra;
-            BOOST_TEST(static_cast<double>(within(further, from, from + window)) <= allowed);
+            BOOST_TEST(static_cast<double>(within(retries, from, from + window)) <= allowed);
         }
     }
 }
--- a/test/balance/ServicePool.test.cpp
+++ b/test/balance/ServicePool.test.cpp
@@ -7,8 +7,8 @@
 using namespace sailpath;
 using namespace std::chrono_literals;
 using balance::Load;
+using balance::SelectionCriteria;
 using balance::ServicePool;
-using balance::Wish;
 
 constexpr core::Timestamp start{1h};
 constexpr double          workMs = 100;
@@ -29,9 +29,9 @@
     /// \brief Tell the load of both and choose
     [[nodiscard]] balance::Choice chooseWith(unsigned onFull, unsigned onEmpty, double paceOfEmpty = 1)
     {
-        pool.find("full")->reported(Load{onFull, 0, slots, 1}, start);
-        pool.find("empty")->reported(Load{onEmpty, 0, slots, paceOfEmpty}, start);
-        return pool.choose(Wish{"read", false, {}}, start, random);
+        pool.find("full")->recordReport(Load{onFull, 0, slots, 1}, start);
+        pool.find("empty")->recordReport(Load{onEmpty, 0, slots, paceOfEmpty}, start);
+        return pool.choose(SelectionCriteria{"read", false, {}}, start, random);
     }
 
     /// \brief Learn from answers of servers with and without room
@@ -47,12 +47,12 @@
     /// \brief The slowdown that the pool works with, read off its estimate for a full server
     [[nodiscard]] double slowdown()
     {
-        pool.find("full")->reported(Load{slots - 1, 0, slots, 1}, start);
-        pool.find("empty")->reported(Load{slots + 9, 0, slots, 9}, start);
-        return pool.choose(Wish{"read", false, {}}, start, random).finishMs / pool.work().ms("read");
+        pool.find("full")->recordReport(Load{slots - 1, 0, slots, 1}, start);
+        pool.find("empty")->recordReport(Load{slots + 9, 0, slots, 9}, start);
+        return pool.choose(SelectionCriteria{"read", false, {}}, start, random).finishMs / pool.work().ms("read");
     }
 
-    [[nodiscard]] balance::Usual usualOf()
+    [[nodiscard]] balance::Baseline usualOf()
     {
         return {workMs, 0, 1, slowdown()};
     }
--- a/test/platform/Platform.test.cpp
+++ b/test/platform/Platform.test.cpp
@@ -444,8 +444,8 @@
 {
     const auto parse = platform::dialect().parseLoad;
     BOOST_TEST(parse("3,1,8")->waiting == 1U);
-    BOOST_TEST(parse("3,1,8")->pace == 1.0);
-    BOOST_TEST(parse("3,0,8,450")->pace == 4.5);
+    BOOST_TEST(parse("3,1,8")->slowdown == 1.0);
+    BOOST_TEST(parse("3,0,8,450")->slowdown == 4.5);
     for (const char* bad : {"", "3", "3,1", "a,b,c", "3,1,0", "3;1;8"})
         BOOST_TEST(!parse(bad), bad);
 }
