--- a/include/sailpath/balance/Baseline.hpp
+++ b/include/sailpath/balance/Baseline.hpp
@@ -3,14 +3,14 @@
 namespace sailpath::balance
 {
 ////////////////////////////////////////////////////////////
-/// \brief What is usual at the instances of a service, as one node learned it
+/// \brief Usual values of the instances of a service, as learned by one node
 ////////////////////////////////////////////////////////////
 struct Baseline
 {
-    double workMs{100};        //!< Work of a request over all routes, milliseconds
-    double otherRequests{0};   //!< Requests of other nodes at an instance
-    double slowdown{1};        //!< How long work takes, as instances tell
-    double crowdedSlowdown{1}; //!< How much longer work takes at an instance whose slots are nearly all taken
+    double workMs{100};        //!< Usual processing time of a request over all routes, milliseconds
+    double otherRequests{0};   //!< Mean number of requests that other nodes have at an instance
+    double slowdown{1};        //!< Mean slowdown that instances report
+    double crowdedSlowdown{1}; //!< Factor of the processing time at an instance with nearly all slots taken
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/CallerElapsedEstimator.hpp
+++ b/include/sailpath/balance/CallerElapsedEstimator.hpp
@@ -8,42 +8,43 @@
 namespace sailpath::balance
 {
 ////////////////////////////////////////////////////////////
-/// \brief For how long the caller of a request has been trying, from the time that it says it has left
+/// \brief Estimates how long the caller of a request has been trying, from the remaining time that callers state
 ///
-/// Load pattern: in a shortage refused callers come back. Room given to one
-/// that cannot be in time any more is taken from one that still can.
+/// Load pattern: during an overload rejected callers retry. Capacity given to a caller that can no longer be answered
+/// in time is taken from one that still can.
 ///
-/// Callers of a route that begin with the same time give themselves away by
-/// what they lack of it. Where they begin with different times, what one lacks
-/// says nothing: most first tries would be taken for late. So the belief holds
-/// only while the times of a good part of the latest requests lie close
-/// together at the top, as those of first tries do.
-/// Limits: after a start nothing is believed until some requests were seen; a
-/// route whose callers begin with different times never tells.
+/// If all callers of a route start with the same timeout, the difference between that timeout and the stated remaining
+/// time is the time already spent. If callers start with different timeouts, the difference says nothing, and most
+/// first attempts would be taken for late retries. The estimate is therefore used only while a large share of the
+/// latest remaining times lies close to the longest one, as those of first attempts do.
+///
+/// Limits: no estimate is made until some requests were observed since the start, nor for a route whose callers start
+/// with different timeouts.
 ////////////////////////////////////////////////////////////
 class CallerElapsedEstimator
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Hear what a caller says
+    /// \brief Record the remaining time that a caller states
     ///
-    /// \param left Time that it still has
+    /// \param remaining Time until the caller gives up
     ///
-    /// \return For how long it has been trying; 0 when that cannot be told
+    /// \return Time since the first attempt of the caller; 0 if it cannot be estimated
     ////////////////////////////////////////////////////////////
     core::Duration observe(core::Duration remaining);
 
-    [[nodiscard]] bool timeoutsAreUniform() const; //!< Callers begin with the same time, as far as is known
+    [[nodiscard]] bool timeoutsAreUniform() const; //!< Whether callers seem to start with the same timeout
 
 private:
-    static constexpr std::size_t maxSamples = 64; // Requests: some seconds of one route at one of hundreds of nodes
+    static constexpr std::size_t maxSamples = 64; // Requests; a few seconds of one route at one of hundreds of nodes
 
     [[nodiscard]] double referenceMs() const;
-    [[nodiscard]] double logOdds(double referenceMs) const; //!< Logarithm of the odds that callers begin alike
+    [[nodiscard]] double
+    logOdds(double referenceMs) const; //!< Logarithm of the odds that callers start with the same timeout
 
-    std::array<double, maxSamples> m_samplesMs{};    //!< Milliseconds that the latest callers said they had
-    std::size_t                    m_count{0};       //!< Heard so far
-    bool                           m_uniform{false}; //!< The belief holds
+    std::array<double, maxSamples> m_samplesMs{};    //!< Latest stated remaining times, milliseconds; a ring buffer
+    std::size_t                    m_count{0};       //!< Remaining times recorded since the start
+    bool                           m_uniform{false}; //!< Whether the timeouts are taken for equal
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/Load.hpp
+++ b/include/sailpath/balance/Load.hpp
@@ -3,14 +3,14 @@
 namespace sailpath::balance
 {
 ////////////////////////////////////////////////////////////
-/// \brief What a server says of its load on an answer
+/// \brief Load report that a server attaches to an answer
 ////////////////////////////////////////////////////////////
 struct Load
 {
-    unsigned running{0};  //!< Requests it works on
-    unsigned waiting{0};  //!< Requests in its queue
-    unsigned slots{1};    //!< Requests it can work on at once
-    double   slowdown{1}; //!< How long work takes now; 1 is as usual
+    unsigned running{0};  //!< Requests being processed
+    unsigned waiting{0};  //!< Requests in the queue of the server
+    unsigned slots{1};    //!< Requests that the server can process at once
+    double   slowdown{1}; //!< Current processing time relative to the usual one; 1 is the usual speed, 2 is half of it
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/Pressure.hpp
+++ b/include/sailpath/balance/Pressure.hpp
@@ -7,22 +7,23 @@
 namespace sailpath::balance
 {
 ////////////////////////////////////////////////////////////
-/// \brief How short of room a service is, by what became of requests that could still be answered in time
+/// \brief Overload of a service, measured by the requests rejected among those that could still be answered in time
 ////////////////////////////////////////////////////////////
 class Pressure
 {
 public:
-    void recordAdmitted(core::Timestamp now); //!< Such a request was sent to a server
-    void recordRejected(core::Timestamp now); //!< Such a request was refused for load
+    void recordAdmitted(core::Timestamp now); //!< A request that could be in time was sent to a server
+    void recordRejected(core::Timestamp now); //!< A request that could be in time was rejected because of load
 
-    [[nodiscard]] bool active(core::Timestamp now) const; //!< One was turned away lately
-    [[nodiscard]] bool high(core::Timestamp now) const;   //!< Of late many of them were
+    [[nodiscard]] bool active(core::Timestamp now) const; //!< Whether a request was rejected within the last 2 s
+    [[nodiscard]] bool
+    high(core::Timestamp now) const; //!< Whether `active`, and more requests are rejected than admitted
 
 private:
     void record(double rejected, core::Timestamp now);
 
-    std::optional<core::Timestamp> m_lastRejectedAt;   //!< The last that was
-    double                         m_rejectedShare{0}; //!< Of the last ones
+    std::optional<core::Timestamp> m_lastRejectedAt;   //!< Time of the last rejection
+    double                         m_rejectedShare{0}; //!< Moving average of the share rejected
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/ProbeBudget.hpp
+++ b/include/sailpath/balance/ProbeBudget.hpp
@@ -5,12 +5,13 @@
 namespace sailpath::balance
 {
 ////////////////////////////////////////////////////////////
-/// \brief Probes that one node may send to the servers of one service
+/// \brief Token bucket for the probes that one node may send to the servers of one service
 ///
-/// Load pattern: a burst of requests, each of which asks several servers. The
-/// mean over the life is bounded; what was saved up in calm seconds serves the
-/// burst. Limits: saved up are a few seconds' worth, as hundreds of nodes that
-/// spend more at once would keep the servers busy with probes.
+/// Load pattern: a burst of requests, each of which probes several servers. The mean rate is bounded; tokens saved
+/// during quiet seconds serve the burst.
+///
+/// Limits: the bucket holds the tokens of a few seconds only, as hundreds of nodes that spend more at once would keep
+/// the servers busy with probes.
 ////////////////////////////////////////////////////////////
 class ProbeBudget
 {
@@ -18,15 +19,17 @@
     explicit ProbeBudget(core::Timestamp startedAt);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Count a probe, if one may be sent
+    /// \brief Take a token for a probe if one is left
+    ///
+    /// \param perSecond Refill rate: probes a second that this node may send
     ///
-    /// \param perSecond Probes a second that this node may send
+    /// \return Whether the probe may be sent
     ////////////////////////////////////////////////////////////
     bool take(double perSecond, core::Timestamp now);
 
 private:
-    double          m_tokens{0}; //!< Probes that may be sent
-    core::Timestamp m_tokensAt;  //!< Time of that figure
+    double          m_tokens{0}; //!< Probes that may be sent, as of `m_tokensAt`
+    core::Timestamp m_tokensAt;  //!< Time of the last refill
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/RetryWindow.hpp
+++ b/include/sailpath/balance/RetryWindow.hpp
@@ -7,58 +7,57 @@
 namespace sailpath::balance
 {
 ////////////////////////////////////////////////////////////
-/// \brief One node's part of a service's retry budget over a sliding window
+/// \brief This node's part of the retry budget of a service, counted over a sliding window
 ///
-/// The parts of all nodes add up to at most the budget of the fleet: the
-/// share follows the node's own requests, the extra is divided by the number
-/// of nodes and withheld from a new life until a window has passed, as the
-/// life before may have used it.
+/// The parts of all nodes add up to at most the budget of the fleet: the ratio applies to the requests of this node;
+/// the extra retries are divided by the number of nodes. A node gets its extra only when one window has passed since
+/// its start, as the process before the restart may have used it.
 ////////////////////////////////////////////////////////////
 class RetryWindow
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Start with nothing counted
+    /// \brief Create an empty window
     ///
-    /// \param window Span
-    /// \param ratio  Further sends as a share of requests
-    /// \param born   Start of this life
+    /// \param window    Length of the sliding window
+    /// \param ratio     Retries allowed per request
+    /// \param startedAt Start of this process
     ////////////////////////////////////////////////////////////
     RetryWindow(core::Duration window, double ratio, core::Timestamp startedAt);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Count a request for the service
+    /// \brief Count the first send of a request for the service
     ////////////////////////////////////////////////////////////
     void recordRequest(core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Count a further send, if the budget allows one
+    /// \brief Count a retry if the budget allows one
     ///
-    /// \param extra This node's part of the fleet's extra
+    /// \param extra This node's part of the retries that the fleet may send beyond the ratio
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool take(double extra, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Whether `take` would allow one
+    /// \brief Whether `take` would allow a retry
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool allows(double extra, core::Timestamp now);
 
 private:
     struct Bucket
     {
-        core::Timestamp start{};     //!< Of the span counted here
+        core::Timestamp start{};     //!< Start of the span counted here
         unsigned        requests{0}; //!< First sends
         unsigned        retries{0};  //!< Sends beyond the first
     };
 
     Bucket& current(core::Timestamp now);
 
-    core::Duration     m_window;      //!< Span
-    double             m_ratio;       //!< Share
-    core::Timestamp    m_startedAt;   //!< Start of this life
-    std::deque<Bucket> m_buckets;     //!< Oldest first
-    unsigned           m_requests{0}; //!< Sum over the buckets
-    unsigned           m_retries{0};  //!< Sum over the buckets
+    core::Duration     m_window;      //!< Length of the sliding window
+    double             m_ratio;       //!< Retries allowed per request
+    core::Timestamp    m_startedAt;   //!< Start of this process
+    std::deque<Bucket> m_buckets;     //!< Counts by span, oldest first
+    unsigned           m_requests{0}; //!< Sum over `m_buckets`
+    unsigned           m_retries{0};  //!< Sum over `m_buckets`
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/ServerView.hpp
+++ b/include/sailpath/balance/ServerView.hpp
@@ -18,159 +18,168 @@
 namespace sailpath::balance
 {
 ////////////////////////////////////////////////////////////
-/// \brief One node's view of one instance: load, pace, failures
+/// \brief State that one node keeps of one instance: load, speed, failures, limits and notices
 ////////////////////////////////////////////////////////////
 class ServerView
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Start the view of an instance nothing is known of
+    /// \brief Create the view of an instance of which only the announcement is known
     ////////////////////////////////////////////////////////////
     ServerView(deployment::Instance instance, const Settings& settings, core::Timestamp now);
 
-    void markJoined();                                               //!< Its service had servers before it
-    void update(deployment::Instance instance, core::Timestamp now); //!< Take over a newer announcement of the same
+    void markJoined(); //!< Mark the instance as added to a service that already had servers
+    /// \brief Take over a newer announcement of the same life of the instance
+    void update(deployment::Instance instance, core::Timestamp now);
 
-    void retire();   //!< Its service has it no more: a search under way is not to end there
-    void evacuate(); //!< Its data centre is evacuated; it gets nothing until it is taken back
+    void retire();   //!< Mark the instance as removed from its service: a search in progress must not choose it
+    void evacuate(); //!< Mark the data centre as evacuated: the instance gets no requests until `reinstate`
 
     ////////////////////////////////////////////////////////////
-    /// \brief Its data centre is taken back: it may have turned cold meanwhile
+    /// \brief End the evacuation of the data centre; the instance may have turned cold meanwhile
     ///
-    /// \param warmUp How long it is taken for cold unless it tells otherwise
+    /// \param warmUp Time from now for which the instance is taken for cold unless it states otherwise
     ////////////////////////////////////////////////////////////
     void reinstate(core::Duration warmUp, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief It said how much longer it is cold; 0 for not
+    /// \brief Take over the remaining warm-up time that the instance states; 0 if it is warm
     ///
-    /// \return Whether that is not what was believed
+    /// \return Whether this changes the state known so far
     ////////////////////////////////////////////////////////////
     bool updateWarmUp(core::Duration left, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief It said how many requests a second it takes from all nodes together
+    /// \brief Take over the limit that the instance states, in requests a second from all nodes together
     ///
-    /// \param at        When; other nodes heard it earlier
-    /// \param doublings Where this is the first that is heard of a limit: see `SharedLimit`
+    /// \param at        Time of the statement; earlier than `now` if another node passed it on
+    /// \param doublings Initial value if no limit was known: see `SharedLimit`
     ///
-    /// \return Whether that is not what was believed
+    /// \return Whether this changes the state known so far
     ////////////////////////////////////////////////////////////
     bool updateLimit(double perSecond, core::Timestamp at, double doublings, core::Timestamp now);
 
-    void sentElsewhere(double requests, double doublings, core::Timestamp now); //!< See `SharedLimit::sentElsewhere`
+    /// \brief Pass to `SharedLimit::sentElsewhere` if a limit is known
+    void sentElsewhere(double requests, double doublings, core::Timestamp now);
 
-    ServerNotice applyNotice(const ServerNotice& notice, double spread,
-                             core::Timestamp now); //!< See `NoticeState::hear`
+    /// \brief Apply a notice of the instance; see `NoticeState::hear`
+    ServerNotice applyNotice(const ServerNotice& notice, double spread, core::Timestamp now);
 
-    void recordAccepted(core::Timestamp sentAt);              //!< It took a request that was sent then, and answered it
-    void recordSent(core::Timestamp now);                     //!< A request was sent
-    void recordEnd(core::Timestamp now);                      //!< A request came to an end
+    void recordAccepted(core::Timestamp sentAt); //!< The instance answered a request that was sent at that time
+    void recordSent(core::Timestamp now);        //!< A request was sent
+    void recordEnd(core::Timestamp now);         //!< A request ended
     void recordReport(const Load& load, core::Timestamp now); //!< A load report arrived
-    void recordAnswer(double latencyMs, double expectedMs);   //!< A good answer arrived
-    void recordOverdue(double elapsedMs, double expectedMs);  //!< An attempt was broken off after that time
-    void recordFailure(core::Timestamp now);                  //!< An attempt failed by the server's doing
-    void recordRejection(core::Timestamp now);                //!< The server turned a request away
+    void recordAnswer(double latencyMs, double expectedMs);   //!< A successful answer arrived
+    void recordOverdue(double elapsedMs, double expectedMs);  //!< An attempt was abandoned after that time
+    void recordFailure(core::Timestamp now);                  //!< An attempt failed because of the server
+    void recordRejection(core::Timestamp now);                //!< The server rejected a request because of load
 
     ////////////////////////////////////////////////////////////
-    /// \brief A node of the fleet saw the instance fail a request
+    /// \brief Record that a node of the fleet saw the instance fail a request
     ///
-    /// \param node    Which
-    /// \param all     Such sights of late over all instances of the service, this one included
-    /// \param servers Instances of the service
+    /// \param node         Short hash of that node
+    /// \param observations Decaying count of such failures over all instances of the service, this one included
+    /// \param serverCount  Instances of the service
     ///
-    /// \return Whether that is reason to suspect it anew
+    /// \return Whether the instance should now be marked as suspect
     ////////////////////////////////////////////////////////////
     bool recordRemoteFailure(std::uint32_t node, double observations, std::size_t serverCount, core::Timestamp now);
 
-    void markSuspect(core::Timestamp now);   //!< Avoid it for a while, longer each time that comes soon after the last
-    void setIdleConnections(unsigned count); //!< Connections at rest to it
-    void setOpenConnections(unsigned count); //!< Connections to it, busy ones included
+    /// \brief Avoid the instance for a while, longer if the last suspicion ended recently
+    void markSuspect(core::Timestamp now);
+
+    void setIdleConnections(unsigned count); //!< Set the number of idle connections to the instance
+    void setOpenConnections(unsigned count); //!< Set the number of connections to the instance, busy ones included
 
     ////////////////////////////////////////////////////////////
-    /// \brief Estimated milliseconds until a request sent now is answered
+    /// \brief Estimate the milliseconds until a request sent now is answered
     ///
-    /// \param workMs Usual work of such a request, milliseconds
-    /// \param usual  Of the service; assumed where no fresh report says more
+    /// \param workMs   Usual processing time of such a request, milliseconds
+    /// \param baseline Usual values of the service; assumed without a fresh load report
     ////////////////////////////////////////////////////////////
     [[nodiscard]] double finishMs(double workMs, const Baseline& baseline, core::Timestamp now) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief How nearly all slots would be taken with one more request, 0 to 1
+    /// \brief Return how nearly all slots would be taken with one more request, 0 to 1
     ////////////////////////////////////////////////////////////
     [[nodiscard]] double crowding(double otherRequests, core::Timestamp now) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Whether one more request would make the instance do less work in all than it does now
+    /// \brief Whether the total throughput with one more request would be no higher than with fewer requests
     ///
-    /// \param usual Of the service: how much slower a crowded instance is
+    /// \param baseline Usual values of the service: how much slower a crowded instance is
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool wouldLoseThroughput(const Baseline& baseline, core::Timestamp now) const;
 
-    [[nodiscard]] double occupancy(double          otherRequests,
-                                   core::Timestamp now) const;    //!< Estimated requests of all nodes there
+    /// \brief Estimate the requests of all nodes at the instance
+    [[nodiscard]] double occupancy(double otherRequests, core::Timestamp now) const;
+
     [[nodiscard]] double failureShare(core::Timestamp now) const; //!< Share of recent attempts that failed
-    [[nodiscard]] bool   isSuspect(core::Timestamp now) const;    //!< Several nodes saw it fail of late
-    [[nodiscard]] bool   isNewcomer() const;                      //!< It joined and has told nothing since it is warm
-    [[nodiscard]] bool   retired() const;                         //!< Its service has it no more
-    [[nodiscard]] bool   evacuated() const;                       //!< Its data centre is evacuated
-    [[nodiscard]] bool   cold(core::Timestamp now) const;         //!< It is, or may be, cold
-    [[nodiscard]] bool   coldUnconfirmed(core::Timestamp now) const; //!< Whether it is cold only it could tell
-    [[nodiscard]] bool hasColdToken(double perSecond, core::Timestamp now) const; //!< Cold, it may be sent one request
-    void               takeColdToken(double perSecond, core::Timestamp now);      //!< Cold, it was sent one
-    [[nodiscard]] bool ejected(core::Timestamp now) const; //!< Whether it is to be left alone for now
-    [[nodiscard]] double
-    recentRequests(core::Timestamp now) const; //!< Requests of this node of late: of the last half second
-    [[nodiscard]] const SharedLimit* limit(core::Timestamp now) const; //!< Null when it takes everything
-    [[nodiscard]] const NoticeState& notices() const;                  //!< What it said of the requests that it wants
-    void                 restoreNotices(const NoticeState& notices);   //!< Of an earlier view of the same life
-    [[nodiscard]] double reportAgeMs(core::Timestamp now) const;       //!< Age of the last report; negative without one
-    [[nodiscard]] std::optional<double> reportedOtherRequests() const; //!< Others' requests as of the last report
-
-    [[nodiscard]] const std::shared_ptr<const deployment::Instance>& instance() const;        //!< As announced
-    [[nodiscard]] unsigned                                           inFlight() const;        //!< Own requests there
-    [[nodiscard]] unsigned                                           openConnections() const; //!< Own connections to it
-    [[nodiscard]] unsigned                                           idleConnections() const; //!< Those at rest
-    [[nodiscard]] double latencyRatio() const; //!< Observed over expected latency
+    [[nodiscard]] bool   isSuspect(core::Timestamp now) const;    //!< Whether several nodes recently saw it fail
+    [[nodiscard]] bool   isNewcomer() const; //!< Whether it joined and has sent no load report since its warm-up
+    [[nodiscard]] bool   retired() const;    //!< Whether it was removed from its service
+    [[nodiscard]] bool   evacuated() const;  //!< Whether its data centre is evacuated
+    [[nodiscard]] bool   cold(core::Timestamp now) const; //!< Whether it is, or may be, in its warm-up
+    /// \brief Whether it is taken for cold without its own statement
+    [[nodiscard]] bool   coldUnconfirmed(core::Timestamp now) const;
+
+    /// \brief Whether it may be sent one request while cold, at `perSecond` requests a second
+    [[nodiscard]] bool   hasColdToken(double perSecond, core::Timestamp now) const;
+    void                 takeColdToken(double perSecond, core::Timestamp now); //!< Count a request sent while cold
+    [[nodiscard]] bool   ejected(core::Timestamp now) const; //!< Whether it is ejected after failures in a row
+    /// \brief Decaying count of requests sent by this node, about those of the last half second
+    [[nodiscard]] double recentRequests(core::Timestamp now) const;
+
+    [[nodiscard]] const SharedLimit* limit(core::Timestamp now) const; //!< Null if no limit is in force
+    [[nodiscard]] const NoticeState& notices() const; //!< Notices that the instance sent: leaving, back-off
+    void restoreNotices(const NoticeState& notices);  //!< Copy the notices of an earlier view of the same life
+    [[nodiscard]] double reportAgeMs(core::Timestamp now) const; //!< Age of the last load report; negative without one
+    [[nodiscard]] std::optional<double> reportedOtherRequests() const; //!< Other nodes' requests as of the last report
+
+    [[nodiscard]] const std::shared_ptr<const deployment::Instance>& instance() const; //!< Last announcement
+    [[nodiscard]] unsigned inFlight() const;        //!< Requests of this node in progress there
+    [[nodiscard]] unsigned openConnections() const; //!< Connections of this node to it
+    [[nodiscard]] unsigned idleConnections() const; //!< Those of these connections that are idle
+    [[nodiscard]] double   latencyRatio() const;    //!< Observed over expected latency
 
 private:
     [[nodiscard]] double currentSlowdown(double baseline, core::Timestamp now) const;
 
     struct Report
     {
-        Load            load;            //!< What it said
-        double          otherRequests{}; //!< Requests that were not this node's
-        core::Timestamp at{};            //!< When it arrived
+        Load            load;            //!< Load report as received
+        double          otherRequests{}; //!< Requests of other nodes: the reported ones less this node's
+        core::Timestamp at{};            //!< Time of arrival
     };
 
-    const Settings&                             m_settings;               //!< Constants
-    std::shared_ptr<const deployment::Instance> m_instance;               //!< As announced
-    core::Timestamp                             m_coldUntil{};            //!< It is slow and bears little until then
-    bool                                        m_coldUnconfirmed{false}; //!< Taken for cold without a word of its own
-    bool                                        m_retired{false};         //!< Its service has it no more
-    bool                                        m_evacuated{false};       //!< Its data centre is
-    double                                      m_coldTokens{1};          //!< Requests that it may be sent while cold
-    core::Timestamp                             m_coldTokensAt{};         //!< Time of that figure
-    double                                      m_recentRequests{0};      //!< Requests of this node, fading
-    core::Timestamp                             m_recentRequestsAt{};     //!< Time of that figure
-    std::optional<SharedLimit>                  m_limit;                  //!< While it takes only so much
-    NoticeState                                 m_notices;            //!< What it said of the requests that it wants
-    unsigned                                    m_inFlight{0};        //!< Own requests there
-    unsigned                                    m_idleConnections{0}; //!< Connections at rest
-    unsigned                                    m_openConnections{0}; //!< All connections
-    std::optional<Report>                       m_report;             //!< Last report
-    double                                      m_latencyRatio{1};    //!< Observed over expected latency
-    double          m_failures{0};  //!< Share of recent attempts that failed, as of `m_failuresAt`
-    core::Timestamp m_failuresAt{}; //!< Time of the last failure
+    const Settings&                             m_settings; //!< Constants
+    std::shared_ptr<const deployment::Instance> m_instance; //!< Last announcement
+    core::Timestamp m_coldUntil{};            //!< End of the warm-up, during which it is slow and takes few requests
+    bool            m_coldUnconfirmed{false}; //!< Whether it is taken for cold without its own statement
+    bool            m_retired{false};         //!< Whether it was removed from its service
+    bool            m_evacuated{false};       //!< Whether its data centre is evacuated
+    double          m_coldTokens{1};          //!< Token bucket of size 1 for requests sent while cold
+    core::Timestamp m_coldTokensAt{};         //!< Time of the last change of `m_coldTokens`
+    double          m_recentRequests{0};  //!< Decaying count of requests sent by this node, as of `m_recentRequestsAt`
+    core::Timestamp m_recentRequestsAt{}; //!< Time of the last request sent
+    std::optional<SharedLimit> m_limit;   //!< Set while a limit is known
+    NoticeState                m_notices; //!< Notices that the instance sent: leaving, back-off
+    unsigned                   m_inFlight{0};        //!< Requests of this node in progress there
+    unsigned                   m_idleConnections{0}; //!< Idle connections
+    unsigned                   m_openConnections{0}; //!< All connections
+    std::optional<Report>      m_report;             //!< Last load report
+    double                     m_latencyRatio{1};    //!< Observed over expected latency
+    double                     m_failures{0};        //!< Share of recent attempts that failed, as of `m_failuresAt`
+    core::Timestamp            m_failuresAt{};       //!< Time of the last failure
     std::vector<std::pair<std::uint32_t, core::Timestamp>>
-                    m_failureObservers;         //!< Nodes that saw it fail, and when last
-    core::Timestamp m_suspectUntil{};           //!< Avoided until then
-    unsigned        m_suspicionDoublings{0};    //!< One soon after the other
-    bool            m_joined{false};            //!< Its service had servers before it
-    unsigned        m_consecutiveFailures{0};   //!< Failures in a row
-    core::Timestamp m_ejectedUntil{};           //!< Left alone until then
-    core::Timestamp m_assumedFullUntil{};       //!< Taken for full until then
-    unsigned        m_consecutiveRejections{0}; //!< Refusals in a row
+                    m_failureObservers;       //!< Nodes that saw it fail, each with the time of its last observation
+    core::Timestamp m_suspectUntil{};         //!< Avoided until this time
+    unsigned        m_suspicionDoublings{0};  //!< Doublings of the suspicion period, by suspicions in quick succession
+    bool            m_joined{false};          //!< Whether its service already had servers when it was added
+    unsigned        m_consecutiveFailures{0}; //!< Failures in a row
+    core::Timestamp m_ejectedUntil{};         //!< Ejected until this time
+    core::Timestamp m_assumedFullUntil{};     //!< Taken for full until this time, after a rejection
+    unsigned        m_consecutiveRejections{0}; //!< Rejections in a row
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/ServicePool.hpp
+++ b/include/sailpath/balance/ServicePool.hpp
@@ -27,260 +27,270 @@
 namespace sailpath::balance
 {
 ////////////////////////////////////////////////////////////
-/// \brief What a choice of a server must respect
+/// \brief Conditions and preferences for the choice of a server
 ////////////////////////////////////////////////////////////
 struct SelectionCriteria
 {
-    std::string_view                             route;             //!< Name of the route, for its usual work
-    bool                                         repeatable{false}; //!< A failure may be mended by another send
-    std::span<ServerView* const>                 tried;             //!< Servers that had it already
-    bool                                         firstRound{false}; //!< Nothing was asked for this request yet
-    std::span<const std::shared_ptr<ServerView>> probed{}; //!< Servers asked for this request, also beyond the own ones
-    bool           localFirst{false};                      //!< Ask servers of the own data centre before all others
-    core::Duration maxReportAge{core::Duration::max()};    //!< Only servers that told their load this lately
-    std::uint32_t  draw{0};                                //!< Of the request's search, for chances that are taken once
-    unsigned       rank{0};                                //!< Kinds of request of the service that are more urgent
-    bool           allowLeaving{false};                    //!< Without another server, one that leaves may be given it
+    std::string_view             route;                    //!< Name of the route, for its usual processing time
+    bool                         repeatable{false};        //!< Whether a failed attempt may be followed by another one
+    std::span<ServerView* const> tried;                    //!< Servers that were already sent the request
+    bool                         firstRound{false};        //!< Whether nothing was probed for this request yet
+    std::span<const std::shared_ptr<ServerView>> probed{}; //!< Servers probed for this request, also outside the subset
+    bool           localFirst{false};                      //!< Prefer servers of this node's data centre to all others
+    core::Duration maxReportAge{core::Duration::max()};    //!< Only servers with a load report of at most this age
+    std::uint32_t  draw{0}; //!< Random number of the request, so that a chance per server is drawn once
+    unsigned       rank{0}; //!< Number of more urgent ranks with recent requests; see `countMoreUrgentRanks`
+    bool           allowLeaving{false}; //!< Whether a leaving server may be chosen if no other can
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief A server and the time it is expected to take
+/// \brief A chosen server and the time that it is expected to take
 ////////////////////////////////////////////////////////////
 struct Choice
 {
-    std::shared_ptr<ServerView> server;      //!< Null when none may be given anything
-    double                      finishMs{0}; //!< Estimated time to the answer
+    std::shared_ptr<ServerView> server;      //!< Null if no server may be chosen
+    double                      finishMs{0}; //!< Estimated time to the answer, milliseconds
     double                      crowding{0}; //!< How nearly all its slots are taken with the request, 0 to 1
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Why a service has no instance that may be given a request
+/// \brief Reason why no instance of a service may be sent a request
 ///
-/// Where several hold for its instances, the one that is over soonest as a rule.
+/// If the instances have different reasons, the one that usually ends first, which is the first in this order.
 ////////////////////////////////////////////////////////////
 enum class NoServerReason
 {
-    Other,     //!< Some instance is none of the following
-    Evacuated, //!< All are in evacuated data centres
-    Limited,   //!< They take only so much, and others send it
-    Cold,      //!< Other nodes send what they bear while cold
-    BackOff,   //!< They asked for no requests for a while
-    Leaving    //!< They have said that they leave
+    Other,     //!< Some instance has none of the following reasons
+    Evacuated, //!< All instances are in evacuated data centres
+    Limited,   //!< Limited instances are sent as much as they take
+    Cold,      //!< Other nodes send what the instances take while cold
+    BackOff,   //!< The instances asked for no requests for a while
+    Leaving    //!< The instances announced that they leave
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief A route that sent requests to a service
+/// \brief Recent activity of a route that sends requests to a service
 ////////////////////////////////////////////////////////////
 struct RouteActivity
 {
-    unsigned               rank{0};         //!< Lower ones go first
+    unsigned               rank{0};         //!< Priority; lower ranks are more urgent
     core::Duration         targetLatency{}; //!< Time within which an answer is wanted
-    core::Timestamp        lastRequestAt{}; //!< Its last request
-    CallerElapsedEstimator callerElapsed;   //!< What its callers say they have
+    core::Timestamp        lastRequestAt{}; //!< Time of the last request
+    CallerElapsedEstimator callerElapsed;   //!< Estimates how long its callers have been trying
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief One service on one node: its instances, their load, its retry budget
+/// \brief State that one node keeps of one service: its instances, their load, its retry budget
 ////////////////////////////////////////////////////////////
 class ServicePool
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Start without instances
+    /// \brief Create a pool without instances
     ///
-    /// \param settings Outlives the pool
-    /// \param born     Start of this life of the node
+    /// \param settings  Constants; must outlive the pool
+    /// \param startedAt Start of this process
     ////////////////////////////////////////////////////////////
     ServicePool(std::string name, const Settings& settings, core::Timestamp startedAt);
 
-    void setRule(const deployment::ServiceRule& rule, unsigned nodes); //!< Put what holds for the service in force
-    void setConnectionLimit(unsigned instanceLimit,
-                            unsigned nodes); //!< Connections that one instance takes from all nodes
+    void setRule(const deployment::ServiceRule& rule, unsigned nodes); //!< Apply the declared rule of the service
+    /// \brief Set the connections that one instance takes from all nodes
+    void setConnectionLimit(unsigned instanceLimit, unsigned nodes);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Put the instances of the service in force; those that stay keep what was learned
+    /// \brief Replace the instances of the service; those that remain keep their state
     ///
-    /// \param evacuated Data centres whose instances get nothing
+    /// \param evacuated Data centres whose instances get no requests
     ////////////////////////////////////////////////////////////
     void setInstances(std::vector<deployment::Instance> instances, core::Timestamp now,
                       const std::set<std::string>& evacuated = {});
 
     ////////////////////////////////////////////////////////////
-    /// \brief Put one instance in force, a new one or a known one that says other than before
+    /// \brief Add an instance, or update it if its announcement changed
     ///
-    /// \param evacuated Data centres whose instances get nothing
+    /// \param evacuated Data centres whose instances get no requests
     ////////////////////////////////////////////////////////////
     void upsert(deployment::Instance instance, core::Timestamp now, const std::set<std::string>& evacuated);
 
-    void remove(const std::string& id);                                             //!< One is not there any more
-    void setEvacuated(const std::set<std::string>& evacuated, core::Timestamp now); //!< Data centres that get nothing
+    void remove(const std::string& id); //!< Remove an instance
+    /// \brief Set the data centres whose instances get no requests
+    void setEvacuated(const std::set<std::string>& evacuated, core::Timestamp now);
 
-    [[nodiscard]] std::uint64_t       examinedCount() const; //!< Counts servers looked at in searches
-    [[nodiscard]] const ServerSubset& subset() const;        //!< Servers among which this node looks first
+    [[nodiscard]] std::uint64_t       examinedCount() const; //!< Servers examined in searches since the start
+    [[nodiscard]] const ServerSubset& subset() const;        //!< Servers that this node considers first
 
-    void setMembers(std::span<const std::uint32_t> members); //!< Nodes that share what a cold instance bears
+    /// \brief Set the short hashes of all nodes, which share the warm-up limit
+    void setMembers(std::span<const std::uint32_t> members);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Choose the server that is expected to be done first
+    /// \brief Choose the server with the least expected cost, mostly the time to its answer
     ////////////////////////////////////////////////////////////
     [[nodiscard]] Choice choose(const SelectionCriteria& criteria, core::Timestamp now, core::Random& random) const;
 
-    void recordSent(ServerView& server, core::Timestamp now); //!< A request was sent to a server of the pool
+    void recordSent(ServerView& server, core::Timestamp now); //!< Record a request sent to a server of the pool
 
     ////////////////////////////////////////////////////////////
-    /// \brief Servers that are worth asking for their load, the most promising first
+    /// \brief Select servers to probe for their load, the most promising first
     ///
-    /// \param asked Servers that are not to be asked
-    /// \param most  At most so many
+    /// \param excluded Servers not to be probed
+    /// \param maxCount Largest number of servers returned
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::vector<std::shared_ptr<ServerView>> selectProbeTargets(const SelectionCriteria&     criteria,
                                                                               std::span<ServerView* const> excluded,
                                                                               std::size_t maxCount, core::Timestamp now,
                                                                               core::Random& random) const;
 
-    [[nodiscard]] bool takeProbe(core::Timestamp now); //!< Count a probe, if the budget allows one
-    [[nodiscard]] bool mayProbe() const;               //!< Servers tell their load at a known path
+    [[nodiscard]] bool takeProbe(core::Timestamp now); //!< Count a probe if the budget allows one
+    /// \brief Whether the service has a health path and its servers may report their load
+    [[nodiscard]] bool mayProbe() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief A request for the service came
+    /// \brief Record a request for the service
     ///
-    /// \param timeLeft That its caller says it has; null when it does not say
+    /// \param timeLeft Remaining time that its caller states; null if it states none
     ///
-    /// \return For how long its caller has been trying; 0 when that cannot be told
+    /// \return Time since the first attempt of its caller; 0 if it cannot be estimated
     ////////////////////////////////////////////////////////////
     core::Duration recordArrival(const deployment::HostRoute& route, std::optional<core::Duration> timeLeft,
                                  core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief A node of the fleet saw an instance fail a request; what is of another service is passed over
+    /// \brief Record that a node of the fleet saw an instance fail a request; other services are ignored
     ///
-    /// \return The instance, if this makes it a suspect; null otherwise
+    /// \return The instance if this makes it a suspect; null otherwise
     ////////////////////////////////////////////////////////////
     std::shared_ptr<const deployment::Instance> recordRemoteFailure(const deployment::ServerFailure& failure,
                                                                     core::Timestamp                  now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief An instance said which requests it still wants; what an earlier life of it said is passed over
+    /// \brief Apply a notice of an instance; notices of an earlier life of the instance are ignored
     ///
     /// \param spread See `NoticeState::hear`
     ///
-    /// \return What of it is new
+    /// \return The part of the notice that is new
     ////////////////////////////////////////////////////////////
     ServerNotice applyNotice(const deployment::Instance& instance, const ServerNotice& notice, double spread,
                              core::Timestamp now);
 
-    void recordAdmitted(unsigned rank, core::Timestamp now); //!< What could be in time was sent
-    void recordRejected(unsigned rank, core::Timestamp now); //!< What could be in time was refused for load
+    void recordAdmitted(unsigned rank, core::Timestamp now); //!< A request that could be in time was sent
+    /// \brief A request that could be in time was rejected because of load
+    void recordRejected(unsigned rank, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Whether what could be in time, of a rank or a more urgent one, was turned away lately
+    /// \brief Whether requests of this or a more urgent rank that could be in time were rejected recently
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool underPressure(unsigned rank, core::Timestamp now) const;
 
-    [[nodiscard]] bool underHighPressure(unsigned rank, core::Timestamp now) const; //!< Many of these were
+    /// \brief Whether `underPressure`, and more requests are rejected than admitted
+    [[nodiscard]] bool underHighPressure(unsigned rank, core::Timestamp now) const;
 
-    [[nodiscard]] const std::unordered_map<std::string, RouteActivity>& routes() const; //!< That sent requests, by name
+    /// \brief Routes that sent requests, by name
+    [[nodiscard]] const std::unordered_map<std::string, RouteActivity>& routes() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Estimated milliseconds until a server would have answered a request of a route sent now
+    /// \brief Estimate the milliseconds until a request of the route sent now is answered by the server
     ////////////////////////////////////////////////////////////
     [[nodiscard]] double finishMs(const ServerView& server, std::string_view route, core::Timestamp now) const;
 
-    [[nodiscard]] bool wouldLoseThroughput(const ServerView& server,
-                                           core::Timestamp   now) const; //!< One more would slow it as a whole
+    /// \brief See `ServerView::wouldLoseThroughput`
+    [[nodiscard]] bool wouldLoseThroughput(const ServerView& server, core::Timestamp now) const;
 
-    void                 recordProbeResult(bool good); //!< A probe found a server that is, or is not, good
-    [[nodiscard]] double goodShare() const;            //!< Of the servers that probes found of late
-    void                 recordMissingLoad();          //!< An answer carried no load report
+    void
+    recordProbeResult(bool good); //!< Record whether a probed server was good: expected to answer at its usual speed
+    [[nodiscard]] double goodShare() const;   //!< Share of recently probed servers that were good
+    void                 recordMissingLoad(); //!< An answer carried no load report
 
     ////////////////////////////////////////////////////////////
     /// \brief Learn from a load report
     ///
-    /// \param others Requests of other nodes at the instance; null when it cannot be told
+    /// \param slowdown      Processing time relative to the usual one
+    /// \param otherRequests Requests of other nodes at the instance; null if unknown
     ////////////////////////////////////////////////////////////
     void learnLoad(double slowdown, std::optional<double> otherRequests);
 
-    [[nodiscard]] WorkEstimator&       work();                        //!< What is usual at its instances
-    [[nodiscard]] const WorkEstimator& work() const;                  //!< What is usual at its instances
-    [[nodiscard]] RetryWindow&         retries();                     //!< Budget
-    [[nodiscard]] const std::string&   name() const;                  //!< Of the service
-    [[nodiscard]] const std::string&   healthPath() const;            //!< What a probe asks for
-    [[nodiscard]] std::size_t          size() const;                  //!< Instances that take requests
-    [[nodiscard]] std::size_t          evacuated() const;             //!< Instances in evacuated data centres
-    void                               markLimited();                 //!< An instance has named a limit
-    [[nodiscard]] bool hasLimitedInstance(core::Timestamp now) const; //!< Some instance takes only so much
-    [[nodiscard]] NoServerReason
-    noServerReason(core::Timestamp now) const; //!< Why none of its instances may be given a request
+    [[nodiscard]] WorkEstimator&       work();                        //!< Usual values of its instances
+    [[nodiscard]] const WorkEstimator& work() const;                  //!< Usual values of its instances
+    [[nodiscard]] RetryWindow&         retries();                     //!< This node's part of the retry budget
+    [[nodiscard]] const std::string&   name() const;                  //!< Name of the service
+    [[nodiscard]] const std::string&   healthPath() const;            //!< Path that probes request
+    [[nodiscard]] std::size_t          size() const;                  //!< Number of instances that may get requests
+    [[nodiscard]] std::size_t          evacuated() const;             //!< Number of instances in evacuated data centres
+    void                               markLimited();                 //!< An instance stated a limit
+    [[nodiscard]] bool hasLimitedInstance(core::Timestamp now) const; //!< Whether a limit is in force for any instance
+    [[nodiscard]] NoServerReason noServerReason(core::Timestamp now) const; //!< Why no instance may be sent a request
 
     ////////////////////////////////////////////////////////////
-    /// \brief Time until the first of the instances that asked for a back-off may be given a request
+    /// \brief Return the time until the first back-off of an instance ends; 0 if none is in force
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] core::Duration shortestBackOff(core::Timestamp now) const;
-    [[nodiscard]] std::shared_ptr<ServerView>
-                           find(std::uint32_t life) const; //!< By `lifeHash`; null when there is none
-    [[nodiscard]] unsigned countMoreUrgentRanks(unsigned        rank,
-                                                core::Timestamp now) const; //!< Ranks that sent requests of late
-    [[nodiscard]] double   openness(core::Timestamp now) const; //!< Chance to be let to the most open limited instance
+    [[nodiscard]] core::Duration              shortestBackOff(core::Timestamp now) const;
+    [[nodiscard]] std::shared_ptr<ServerView> find(std::uint32_t lifeHash) const; //!< By `lifeHash`; null if unknown
+    /// \brief Count the more urgent ranks that sent requests recently
+    [[nodiscard]] unsigned                    countMoreUrgentRanks(unsigned rank, core::Timestamp now) const;
+    /// \brief Highest openness among the limited instances; see `SharedLimit::openness`
+    [[nodiscard]] double                      openness(core::Timestamp now) const;
 
-    void addLimits(std::vector<LimitState>& all, core::Timestamp now) const;         //!< Add those of limited instances
-    void addNotices(std::vector<NoticeInForce>& all, core::Timestamp now) const;     //!< Add those that hold
-    [[nodiscard]] std::shared_ptr<ServerView> find(std::string_view instance) const; //!< Null when there is none
+    void addLimits(std::vector<LimitState>& all, core::Timestamp now) const;         //!< Append the limits in force
+    void addNotices(std::vector<NoticeInForce>& all, core::Timestamp now) const;     //!< Append the notices in force
+    [[nodiscard]] std::shared_ptr<ServerView> find(std::string_view instance) const; //!< By id; null if unknown
 
 private:
     [[nodiscard]] static NoServerReason noServerReasonOf(const ServerView& server, core::Timestamp now);
-    [[nodiscard]] bool maySuspectOneMore(core::Timestamp now) const; //!< Few enough servers are suspects
+    [[nodiscard]] bool maySuspectOneMore(core::Timestamp now) const; //!< Whether few enough servers are suspects
 
-    using Ranking = std::vector<std::pair<double, std::shared_ptr<ServerView>>>; //!< By cost
+    using Ranking = std::vector<std::pair<double, std::shared_ptr<ServerView>>>; //!< Servers with their costs
 
-    /// \brief Let a server that joined and was never heard of take the last place among the first now and then
+    /// \brief Now and then move a newcomer or cold server to the last of the first `maxCount` places
     void promoteNewcomer(Ranking& ranked, const SelectionCriteria& criteria, std::size_t maxCount, core::Timestamp now,
                          core::Random& random) const;
-    [[nodiscard]] bool   isSendCandidate(const ServerView& server, const SelectionCriteria& criteria,
-                                         core::Timestamp now) const;
-    [[nodiscard]] bool   isProbeCandidate(const ServerView& server, const SelectionCriteria& criteria,
+    [[nodiscard]] bool        isSendCandidate(const ServerView& server, const SelectionCriteria& criteria,
+                                              core::Timestamp now) const;
+    [[nodiscard]] bool        isProbeCandidate(const ServerView& server, const SelectionCriteria& criteria,
+                                               core::Timestamp now) const;
+    [[nodiscard]] bool        warmUpAllows(const ServerView& server, core::Timestamp now) const;
+    [[nodiscard]] bool        limitAllows(const ServerView& server, const SelectionCriteria& criteria,
                                           core::Timestamp now) const;
-    [[nodiscard]] bool   warmUpAllows(const ServerView& server, core::Timestamp now) const;
-    [[nodiscard]] bool   limitAllows(const ServerView& server, const SelectionCriteria& criteria,
-                                     core::Timestamp now) const;
-    [[nodiscard]] bool   isEligible(const ServerView& server, const SelectionCriteria& criteria) const;
-    /// \brief Whether the instance still wants requests; with `leavers`, also for a while after it said that it leaves
-    [[nodiscard]] bool   noticesAllow(const ServerView& server, bool allowLeaving, core::Timestamp now) const;
-    [[nodiscard]] Choice chooseAmong(const SelectionCriteria& criteria, bool allowLeaving, core::Timestamp now,
-                                     core::Random& random) const;
-    void retainNotices(const std::shared_ptr<ServerView>& server); //!< Keep its notices for its entry's return
-    void add(deployment::Instance instance, bool isJoining, core::Timestamp now,
-             const std::set<std::string>& evacuated);
+    [[nodiscard]] bool        isEligible(const ServerView& server, const SelectionCriteria& criteria) const;
+    /// \brief Whether the notices of the instance allow a request; `allowLeaving` also admits one that leaves, for
+    ///        `Settings::leavingGrace`
+    [[nodiscard]] bool        noticesAllow(const ServerView& server, bool allowLeaving, core::Timestamp now) const;
+    [[nodiscard]] Choice      chooseAmong(const SelectionCriteria& criteria, bool allowLeaving, core::Timestamp now,
+                                          core::Random& random) const;
+    /// \brief Keep the notices of a removed server in case its entry returns
+    void                      retainNotices(const std::shared_ptr<ServerView>& server);
+    void                      add(deployment::Instance instance, bool isJoining, core::Timestamp now,
+                                  const std::set<std::string>& evacuated);
     [[nodiscard]] static bool reportedWithin(const ServerView& server, core::Duration age, core::Timestamp now);
     [[nodiscard]] bool        isLocal(const ServerView& server) const;
-    [[nodiscard]] double      cost(const ServerView& server, const SelectionCriteria& criteria, double work,
+    [[nodiscard]] double      cost(const ServerView& server, const SelectionCriteria& criteria, double workMs,
                                    core::Timestamp now) const;
 
-    std::string                                                    m_name;     //!< Of the service
+    std::string                                                    m_name;     //!< Name of the service
     const Settings&                                                m_settings; //!< Constants
-    std::unordered_map<std::string, std::shared_ptr<ServerView>>   m_byId;     //!< The same by id
-    std::unordered_map<std::uint32_t, std::shared_ptr<ServerView>> m_byHash;   //!< By short hash of their ids
-    std::deque<std::shared_ptr<ServerView>>  m_removedServers; //!< Whose notices still hold if their entries come back
-    double                                   m_failureObservations{0};  //!< Decaying count of failures that nodes saw
-    core::Timestamp                          m_failureObservationsAt{}; //!< It is as of then
-    std::vector<std::shared_ptr<ServerView>> m_servers;                 //!< Those that take requests
-    ServerSubset                             m_subset;                  //!< Of these, where this node looks first
-    RetryWindow                              m_retries;                 //!< Budget
-    std::string                              m_healthPath;              //!< What a probe asks for
-    bool                                     m_reportsLoad{false};      //!< Some answer carried a load report
-    unsigned                                 m_answersWithoutLoad{0};   //!< Before the first one that did
-    unsigned                                 m_nodeCount{1};            //!< That share the budget for probes
-    unsigned                                 m_connectionLimit{0};      //!< Most own connections to one instance
-    ProbeBudget                              m_probes;                  //!< Of this node
-    WorkEstimator                            m_work;                    //!< What is usual at its instances
-    std::map<unsigned, Pressure>             m_pressure;                //!< How short of room it is for each rank
-    std::unordered_map<std::string, RouteActivity> m_routes;            //!< Those that sent requests, by name
-    mutable WarmUpLimit   m_warmUpLimit;          //!< Who may send to cold instances; it remembers ranks
-    mutable bool          m_mayBeLimited{false};  //!< Some instance is limited; it is found out again as long as one is
-    core::Duration        m_warmUp{};             //!< How long an instance is cold
-    double                m_goodShare{0.5};       //!< Of the servers that probes found of late
-    mutable std::uint64_t m_examinedCount{0};     //!< Servers looked at in searches
-    std::size_t           m_evacuated{0};         //!< Instances in evacuated data centres
-    std::set<std::string> m_evacuatedDataCentres; //!< These data centres
+    std::unordered_map<std::string, std::shared_ptr<ServerView>>   m_byId;     //!< All instances by id
+    std::unordered_map<std::uint32_t, std::shared_ptr<ServerView>> m_byHash;   //!< All instances by `lifeHash`
+    std::deque<std::shared_ptr<ServerView>>
+                    m_removedServers;          //!< Removed servers whose notices apply again if their entries return
+    double          m_failureObservations{0};  //!< Decaying count of failures that nodes saw
+    core::Timestamp m_failureObservationsAt{}; //!< Time of the last change of `m_failureObservations`
+    std::vector<std::shared_ptr<ServerView>> m_servers;    //!< Instances that may get requests
+    ServerSubset                             m_subset;     //!< Those of `m_servers` that this node considers first
+    RetryWindow                              m_retries;    //!< This node's part of the retry budget
+    std::string                              m_healthPath; //!< Path that probes request
+    bool                                     m_reportsLoad{false};    //!< Whether any answer carried a load report
+    unsigned                                 m_answersWithoutLoad{0}; //!< Answers without a load report
+    unsigned                                 m_nodeCount{1};          //!< Nodes that share the probe budget
+    unsigned      m_connectionLimit{0}; //!< Largest number of this node's connections to one instance; 0 for no limit
+    ProbeBudget   m_probes;             //!< Probe budget of this node
+    WorkEstimator m_work;               //!< Usual values of its instances
+    std::map<unsigned, Pressure>                   m_pressure; //!< Overload by rank
+    std::unordered_map<std::string, RouteActivity> m_routes;   //!< Routes that sent requests, by name
+    mutable WarmUpLimit   m_warmUpLimit; //!< Which nodes may send to cold instances; mutable, as it caches ranks
+    mutable bool          m_mayBeLimited{false};  //!< Whether an instance may be limited; recomputed while true
+    core::Duration        m_warmUp{};             //!< Declared warm-up time of an instance
+    double                m_goodShare{0.5};       //!< Share of recently probed servers that were good
+    mutable std::uint64_t m_examinedCount{0};     //!< Servers examined in searches since the start
+    std::size_t           m_evacuated{0};         //!< Number of instances in evacuated data centres
+    std::set<std::string> m_evacuatedDataCentres; //!< Evacuated data centres
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/WorkEstimator.hpp
+++ b/include/sailpath/balance/WorkEstimator.hpp
@@ -10,52 +10,53 @@
 namespace sailpath::balance
 {
 ////////////////////////////////////////////////////////////
-/// \brief Learns what is usual at the instances of a service, from reports and answers
+/// \brief Learns the usual values of the instances of a service from load reports and answers
 ////////////////////////////////////////////////////////////
 class WorkEstimator
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Start with a guess of a request's work
+    /// \brief Start with an assumed processing time
     ////////////////////////////////////////////////////////////
     explicit WorkEstimator(core::Duration initialWork);
 
-    void setInitialEstimate(std::string_view route, double ms); //!< A guess, until answers tell
-    void learnOtherRequests(double otherRequests);              //!< A report told of others' requests
-    void learnSlowdown(double slowdown);                        //!< A report told a pace
+    void setInitialEstimate(std::string_view route, double ms); //!< Assume a processing time until answers arrive
+    void learnOtherRequests(double otherRequests); //!< Learn the number of requests of other nodes from a load report
+    void learnSlowdown(double slowdown);           //!< Learn the slowdown from a load report
 
     ////////////////////////////////////////////////////////////
-    /// \brief Learn from a good answer
+    /// \brief Learn from a successful answer
     ///
-    /// \param plainMs  Time that was expected of an ordinary instance
-    /// \param crowding Of the instance, when the request was sent
+    /// \param expectedMs Time expected of an instance with a latency ratio of 1, milliseconds
+    /// \param crowding   Crowding of the instance when the request was sent, 0 to 1
     ////////////////////////////////////////////////////////////
     void learn(std::string_view route, double latencyMs, double expectedMs, double crowding);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Whether a request is let in to learn what its route's work is, though the guess speaks against it
+    /// \brief Whether to admit a request only to learn the processing time of its route, against the initial estimate
     ///
-    /// True seldom, and ever less often the longer nothing comes of it.
+    /// Such explorations are rare; the interval between them grows until answers arrive.
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool allowExploration(std::string_view route, core::Timestamp now);
 
-    [[nodiscard]] double          ms(std::string_view route) const;         //!< Usual work of a route's request
-    [[nodiscard]] bool            hasLearned(std::string_view route) const; //!< Enough answers of the route were seen
-    [[nodiscard]] const Baseline& baseline() const;                         //!< Of late, over all routes
+    [[nodiscard]] double
+    ms(std::string_view route) const; //!< Usual processing time of a request of the route, milliseconds
+    [[nodiscard]] bool hasLearned(std::string_view route) const; //!< Whether enough answers of the route were seen
+    [[nodiscard]] const Baseline& baseline() const;              //!< Recent values over all routes
 
 private:
     struct RouteWork
     {
-        double          ms{0};             //!< Usual work
-        unsigned        answers{0};        //!< It was learned from
-        unsigned        explorations{0};   //!< Requests that were let in to learn it
-        core::Timestamp nextExploration{}; //!< None before
+        double          ms{0};             //!< Usual processing time, milliseconds
+        unsigned        answers{0};        //!< Answers learned from
+        unsigned        explorations{0};   //!< Requests admitted only to learn
+        core::Timestamp nextExploration{}; //!< Earliest time of the next exploration
     };
 
-    Baseline m_baseline;                                 //!< Of late
-    unsigned m_crowdedAnswers{0};                        //!< Seen so far
-    double   m_uncrowdedRatio{1};                        //!< Observed over expected time at instances with room
-    std::unordered_map<std::string, RouteWork> m_routes; //!< By name
+    Baseline m_baseline;          //!< Recent values over all routes
+    unsigned m_crowdedAnswers{0}; //!< Answers of crowded instances seen so far
+    double   m_uncrowdedRatio{1}; //!< Observed over expected time at instances that are not crowded
+    std::unordered_map<std::string, RouteWork> m_routes; //!< By route name
 };
 
 } // namespace sailpath::balance
--- a/src/sailpath/balance/ServicePool.cpp
+++ b/src/sailpath/balance/ServicePool.cpp
@@ -250,9 +250,9 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::shared_ptr<ServerView> ServicePool::find(std::uint32_t life) const
+std::shared_ptr<ServerView> ServicePool::find(std::uint32_t lifeHash) const
 {
-    const auto found = m_byHash.find(life);
+    const auto found = m_byHash.find(lifeHash);
     return found == m_byHash.end() ? nullptr : found->second;
 }
 
