--- a/src/sailpath/balance/CallerElapsedEstimator.cpp
+++ b/src/sailpath/balance/CallerElapsedEstimator.cpp
@@ -8,12 +8,17 @@
 {
 namespace
 {
-constexpr double nearBand = 0.01; // Of the longest time: what a new connection costs a first try
-constexpr double nearShareIfUniform =
-    0.4; // Share of requests near the longest, first tries, when all that can are refused
-constexpr double nearShareIfSpread = 0.1; // When times are spread over a tenth and more
-constexpr double logOddsToAccept = 3.5;   // Logarithm of the odds: three near ones beside the two longest and no other
-constexpr double logOddsToDrop = -10;     // Chance alone is as far from it when most requests are further tries
+// Share of the longest remaining time. Covers the setup of a new connection by a first attempt.
+constexpr double nearBand = 0.01;
+// Expected share of remaining times near the longest one (first attempts) if timeouts are equal and all requests that
+// can retry are rejected.
+constexpr double nearShareIfUniform = 0.4;
+// Expected share of remaining times near the longest one if timeouts are spread over a tenth of it or more.
+constexpr double nearShareIfSpread = 0.1;
+// Logarithm of the odds: reached by three near samples beside the two longest ones and no distant one.
+constexpr double logOddsToAccept = 3.5;
+// Logarithm of the odds: as unlikely to be reached by chance when most requests are retries.
+constexpr double logOddsToDrop = -10;
 
 } // namespace
 
@@ -25,7 +30,8 @@
     ++m_count;
     const double fullMs = referenceMs();
     m_uniform = logOdds(fullMs) >= (m_uniform ? logOddsToDrop : logOddsToAccept);
-    // Mean worth of days with trouble where callers begin with different times: 0.65 when all are believed, 0.72 so.
+    // With callers of different timeouts, the mean worth of days with faults was 0.65 if every stated time was used,
+    // and 0.72 with this check.
     return m_uniform ? core::fromMilliseconds(std::max(0.0, fullMs - remainingMs)) : core::Duration{};
 }
 
@@ -38,7 +44,7 @@
 ////////////////////////////////////////////////////////////
 double CallerElapsedEstimator::referenceMs() const
 {
-    // The second longest: one odd caller must not make all others late.
+    // The second longest: a single caller with a longer timeout must not make all others seem late.
     double first = 0;
     double second = 0;
     for (std::size_t i = 0; i < std::min(m_count, maxSamples); ++i)
@@ -55,7 +61,7 @@
 ////////////////////////////////////////////////////////////
 double CallerElapsedEstimator::logOdds(double referenceMs) const
 {
-    constexpr std::size_t referenceSamples = 2; // The two longest say nothing of how close others are to them
+    constexpr std::size_t referenceSamples = 2; // The two longest do not show how close others are to them
     const auto            count = std::min(m_count, maxSamples);
     if (count <= referenceSamples)
         return 0;
--- a/src/sailpath/balance/Pressure.cpp
+++ b/src/sailpath/balance/Pressure.cpp
@@ -4,9 +4,9 @@
 {
 namespace
 {
-constexpr auto   activeFor = std::chrono::seconds{2}; // Those turned away are back by then: the longest `comeBack`
-constexpr double rejectedShareGain = 0.2;             // Share of one request in the share refused
-constexpr double highRejectedShare = 0.5;             // More are turned away than let in
+constexpr auto   activeFor = std::chrono::seconds{2}; // The longest `comeBack`: rejected callers have retried by then
+constexpr double rejectedShareGain = 0.2;             // Weight of one request in the moving average
+constexpr double highRejectedShare = 0.5;             // Above it, more requests are rejected than admitted
 
 } // namespace
 
--- a/src/sailpath/balance/ProbeBudget.cpp
+++ b/src/sailpath/balance/ProbeBudget.cpp
@@ -6,12 +6,12 @@
 {
 namespace
 {
-constexpr double burstSeconds = 5; // Worth of probes. With two seconds' worth one refusal in four under a burst was
-                                   // given without asking any server
-constexpr auto   initialCredit =
-    std::chrono::seconds{2}; // That a life begins with: nodes that start in a shortage and ask
-                             // little flood full servers (0.42 for 0.53 of the requests that
-                             // the servers can do are in time at twice the load, model)
+// Bucket size in seconds of the refill rate. With 2 s, one rejection in four during a burst was decided without
+// probing any server.
+constexpr double burstSeconds = 5;
+// Tokens at the start, as time of refilling. Nodes that start during an overload and probe little overload full servers:
+// at twice the load 0.42 of the requests were in time, against 0.53 that the servers could do (model).
+constexpr auto   initialCredit = std::chrono::seconds{2};
 
 } // namespace
 
--- a/src/sailpath/balance/RetryWindow.cpp
+++ b/src/sailpath/balance/RetryWindow.cpp
@@ -5,7 +5,8 @@
 namespace
 {
 constexpr int    bucketsPerWindow = 20;
-constexpr double ratioMargin = 0.9; // Of the share; what is under way between a node and a server shifts the windows
+// Used part of the ratio. Requests in transit between a node and a server shift the windows against each other.
+constexpr double ratioMargin = 0.9;
 
 } // namespace
 
--- a/src/sailpath/balance/ServerSubset.cpp
+++ b/src/sailpath/balance/ServerSubset.cpp
@@ -18,7 +18,7 @@
 ////////////////////////////////////////////////////////////
 ServerSubset::Rank ServerSubset::rank(const ServerView& server) const
 {
-    // The same weight by which few nodes are chosen for a cold server: who is chosen has it in the subset.
+    // The weight that also chooses the nodes for a cold server, so a chosen node has the server in its subset.
     const deployment::Instance& instance = *server.instance();
     return {instance.dataCentre == m_dataCentre, core::mix(m_self, deployment::shortHash(instance.id))};
 }
@@ -53,7 +53,7 @@
     const auto found = std::find(m_servers.begin(), m_servers.end(), server);
     if (found == m_servers.end())
         return;
-    // The next in rank is among those that were left out.
+    // The server with the next rank is one that the subset left out.
     if (remaining.size() >= m_maxSize)
         return reset(remaining);
     m_ranks.erase(m_ranks.begin() + (found - m_servers.begin()));
--- a/src/sailpath/balance/ServerView.cpp
+++ b/src/sailpath/balance/ServerView.cpp
@@ -7,28 +7,30 @@
 {
 namespace
 {
-constexpr double   latencyRatioGain = 0.2;   // Share of one answer in an instance's latency ratio
-constexpr double   minLatencyRatio = 0.5;    // Bound of the ratio
-constexpr double   maxObservedRatio = 20;    // Bound of one observation
-constexpr double   coldSlowdown = 1.6;       // Assumed of an instance that is still warming up
-constexpr double   failureGain = 0.3;        // Share of one attempt in the failure share
-constexpr double   failureHalfLifeMs = 3000; // How fast a failure is forgotten without further attempts
-constexpr double   crowdedFrom = 0.7;        // Share of the slots taken from which an instance may become slower
+constexpr double   latencyRatioGain = 0.2;   // Weight of one answer in the latency ratio
+constexpr double   minLatencyRatio = 0.5;    // Lower bound of the latency ratio
+constexpr double   maxObservedRatio = 20;    // Upper bound of one observation
+constexpr double   coldSlowdown = 1.6;       // Assumed of an instance in its warm-up
+constexpr double   failureGain = 0.3;        // Weight of one attempt in the failure share
+constexpr double   failureHalfLifeMs = 3000; // Half-life of the failure share without further attempts
+constexpr double   crowdedFrom = 0.7;        // Share of slots taken from which an instance may become slower
 constexpr unsigned failuresToEject = 2;      // In a row
 constexpr auto     firstEjection = std::chrono::milliseconds{800};
 constexpr auto     maxEjection = std::chrono::seconds{6};
-constexpr auto     observationLife = std::chrono::seconds{4}; // Two requests or more of all nodes reach a server in it
-constexpr double   observerRatio = 3; // Times the usual witnesses of the others, and one more, are reason to suspect;
-                                      // a bad link, which sees all fail, is none
-constexpr unsigned minObservers = 2;  // One node's word is not enough
+constexpr auto     observationLife = std::chrono::seconds{4}; // Two or more requests of all nodes reach a server in it
+// An instance is suspect if its observers exceed this many times the mean of the other instances, plus one. So a node
+// with a bad link, which sees all instances fail, makes no instance a suspect.
+constexpr double   observerRatio = 3;
+constexpr unsigned minObservers = 2; // Observations of a single node are not enough
 constexpr auto     firstSuspicion = std::chrono::seconds{8};
-constexpr auto     suspicionMemory = std::chrono::seconds{10}; // After its end the next one lasts twice as long
+// A suspicion within this time after the end of the last one lasts twice as long.
+constexpr auto     suspicionMemory = std::chrono::seconds{10};
 constexpr unsigned maxSuspicionDoublings = 2;
-constexpr double   recentDecayMs =
-    600; // Fading of what was sent before a limit was known: the part of a second that a third
-         // of the rate cannot make up for by itself
-constexpr auto firstFullPeriod = std::chrono::milliseconds{60};
-constexpr auto maxFullPeriod = std::chrono::milliseconds{1000};
+// Decay of the requests counted before a limit was known: the part of a second that a third of the rate cannot make up
+// for by itself.
+constexpr double   recentDecayMs = 600;
+constexpr auto     firstFullPeriod = std::chrono::milliseconds{60};
+constexpr auto     maxFullPeriod = std::chrono::milliseconds{1000};
 
 } // namespace
 
@@ -100,7 +102,7 @@
     if (!m_limit)
     {
         m_limit.emplace(doublings, now);
-        // The server counts what it had got just before with what follows; left out, it would get more than it bears.
+        // The server also counts the requests that it got just before; without them it would get more than it can take.
         const bool changed = m_limit->told(perSecond, at, now);
         m_limit->sent(recentRequests(now), now);
         return changed;
@@ -313,8 +315,8 @@
 ////////////////////////////////////////////////////////////
 double ServerView::currentSlowdown(double baseline, core::Timestamp now) const
 {
-    // What a cold instance reports has its slowness in it already: counted twice, work that it can do in time would be
-    // held to be late there, and instances that came back cold would stand idle.
+    // The reported slowdown of a cold instance already includes its warm-up. If that were counted twice, requests that it
+    // can answer in time would seem late, and instances that return cold would stay idle.
     const double expected = baseline * (cold(now) ? coldSlowdown : 1);
     if (!m_report)
         return expected;
@@ -369,7 +371,7 @@
 ////////////////////////////////////////////////////////////
 bool ServerView::isNewcomer() const
 {
-    // What it told while it was cold says little of it: those who were told then would not look there again.
+    // A report from the warm-up says little about the warm instance; nodes that relied on it would not choose it again.
     return m_joined && (!m_report || m_report->at < m_coldUntil);
 }
 
--- a/src/sailpath/balance/ServicePool.cpp
+++ b/src/sailpath/balance/ServicePool.cpp
@@ -7,13 +7,15 @@
 {
 namespace
 {
-constexpr double      goodShareGain = 0.05;      // Share of one probe in the share of good servers
-constexpr double      maxSuspectShare = 1.0 / 3; // Of a service's servers at once: the others could hardly bear more
-constexpr double      observationDecayMs = 4000; // How fast failures that nodes saw are forgotten, on average
-constexpr double      probeShare = 0.8;          // Of the budget for probes that is used
+constexpr double      goodShareGain = 0.05; // Weight of one probe in the share of good servers
+// Share of the servers that may be suspect at once; the others could hardly take more load.
+constexpr double      maxSuspectShare = 1.0 / 3;
+constexpr double      observationDecayMs = 4000; // Decay time of the observed failures
+constexpr double      probeShare = 0.8;          // Used share of the probe budget
 constexpr unsigned    minConnections = 2;
-constexpr std::size_t maxRemovedServers = 256; // Removed instances; what is forgotten is heard again with one answer
-constexpr auto        routeActiveFor = std::chrono::seconds{5}; // After its last request a route counts as under way
+constexpr std::size_t maxRemovedServers = 256; // A forgotten notice is learned again from one answer
+// Time after its last request for which a route counts as active.
+constexpr auto        routeActiveFor = std::chrono::seconds{5};
 
 } // namespace
 
@@ -97,7 +99,7 @@
                       const std::set<std::string>& evacuated)
 {
     const auto known = m_byId.find(instance.id);
-    // What a server that started again was and had before is over: it is met as a new one.
+    // A restarted server is a new instance; the state of its previous life does not apply.
     if (known != m_byId.end() && deployment::sameLife(*known->second->instance(), instance))
     {
         if (*known->second->instance() != instance)
@@ -233,7 +235,7 @@
     { return deployment::sameLife(*server->instance(), instance); };
     if (const auto server = find(instance.id))
         return sameLife(server) ? server->applyNotice(notice, spread, now) : ServerNotice{};
-    // Its entry may be gone only for a while: answers that are still under way speak for it.
+    // The entry may be missing only temporarily; answers still in transit carry notices for it.
     const auto removed = std::find_if(m_removedServers.begin(), m_removedServers.end(), sameLife);
     return removed != m_removedServers.end() ? (*removed)->applyNotice(notice, spread, now) : ServerNotice{};
 }
@@ -259,7 +261,7 @@
 ////////////////////////////////////////////////////////////
 bool ServicePool::hasLimitedInstance(core::Timestamp now) const
 {
-    // As a rule nobody is limited, and then no server is looked at: a service may have a thousand.
+    // Usually no instance is limited; then no server is examined, as a service may have a thousand.
     m_mayBeLimited = m_mayBeLimited && std::any_of(m_servers.begin(), m_servers.end(),
                                                    [now](const auto& server) { return server->limit(now) != nullptr; });
     return m_mayBeLimited;
--- a/src/sailpath/balance/ServicePoolPlacement.cpp
+++ b/src/sailpath/balance/ServicePoolPlacement.cpp
@@ -1,4 +1,4 @@
-// Which server a request is sent to, and which are asked for their load first.
+// Choice of the server that a request is sent to, and of the servers that are probed for their load before.
 
 #include <sailpath/balance/ServicePool.hpp>
 #include <sailpath/core/Hash.hpp>
@@ -9,18 +9,18 @@
 {
 namespace
 {
-constexpr double failurePenalty = 2;     // Usual works that a failed attempt costs when it can be mended
-constexpr double lossPenalty = 12;       // Usual works that a failed attempt costs when it cannot
-constexpr double suspectShare = 0.5;     // Failures expected of a server that several nodes saw fail
-constexpr double ejectedPenalty = 40;    // Usual works; an ejected server is taken only when all are
-constexpr double remotePenalty = 20;     // Usual works; less than that of an ejected server
-constexpr double connectPenalty = 0.5;   // Usual works, for a server that a connection would have to be opened to
-constexpr double costJitter = 0.08;      // Random part of a cost, so that nodes with equal views part
-constexpr double probeCostJitter = 0.25; // Random part when servers to be probed are ranked
-constexpr double newcomerShare = 0.25;   // Of the searches that ask a server which joined unheard of
+constexpr double failurePenalty = 2;     // Usual processing times; cost of a failed attempt that may be retried
+constexpr double lossPenalty = 12;       // Usual processing times; cost of a failed attempt that may not
+constexpr double suspectShare = 0.5;     // Assumed failure share of a suspect server
+constexpr double ejectedPenalty = 40;    // Usual processing times; an ejected server is chosen only if all are ejected
+constexpr double remotePenalty = 20;     // Usual processing times; for another data centre, below `ejectedPenalty`
+constexpr double connectPenalty = 0.5;   // Usual processing times; if a new connection would have to be opened
+constexpr double costJitter = 0.08;      // Random part of a cost, so that nodes with equal views choose differently
+constexpr double probeCostJitter = 0.25; // Random part of a cost when servers to probe are ranked
+constexpr double newcomerShare = 0.25;   // Share of the searches that probe a newcomer
 
 ////////////////////////////////////////////////////////////
-/// \brief A number in [0, 1) that is the same for one search and instance, however often it is asked for
+/// \brief Return a pseudo-random number in [0, 1) that is the same for each call with one request and instance
 ////////////////////////////////////////////////////////////
 double uniformDraw(std::uint32_t draw, std::uint32_t instance)
 {
@@ -78,14 +78,14 @@
         const ServerView& server = *ranked[i].second;
         if (server.ejected(now))
             continue;
-        // Of hundreds of nodes few may send to a cold server: if they do not look there, it stands idle while others
-        // are overloaded.
+        // Only a few of hundreds of nodes may send to a cold server. If these do not probe it, it stays idle while
+        // others are overloaded.
         if (m_warmUpLimit.hasBound() && server.cold(now))
             cold.push_back(i);
         else if (server.isNewcomer() && (!criteria.localFirst || isLocal(server)))
             newcomers.push_back(i);
     }
-    // Another server is asked beside it, as the newcomer may be slow.
+    // The other places are kept, as the newcomer may be slow.
     if (maxCount > 1 && !cold.empty())
         std::swap(ranked[maxCount - 1], ranked[cold[random.below(cold.size())]]);
     else if (maxCount > 1 && !newcomers.empty() && random.unit() < newcomerShare)
@@ -96,7 +96,7 @@
 Choice ServicePool::choose(const SelectionCriteria& criteria, core::Timestamp now, core::Random& random) const
 {
     const Choice choice = chooseAmong(criteria, false, now, random);
-    // A server that leaves serves on for a while, and an answer is better than a refusal.
+    // A leaving server still answers for a while, and an answer is better than a rejection.
     return choice.server || !criteria.allowLeaving ? choice : chooseAmong(criteria, true, now, random);
 }
 
@@ -147,7 +147,7 @@
 bool ServicePool::isProbeCandidate(const ServerView& server, const SelectionCriteria& criteria,
                                    core::Timestamp now) const
 {
-    // To ask is no request: that is how a node learns that a server which may be cold is not.
+    // A probe is not limited like a request; by it a node learns that a server taken for cold is warm.
     return isEligible(server, criteria) && (server.coldUnconfirmed(now) || warmUpAllows(server, now)) &&
            limitAllows(server, criteria, now);
 }
@@ -183,7 +183,7 @@
 ////////////////////////////////////////////////////////////
 bool ServicePool::limitAllows(const ServerView& server, const SelectionCriteria& criteria, core::Timestamp now) const
 {
-    // No node alone sends a limited server more than it takes; the sum of all would flood it.
+    // A single node does not send a limited server more than it takes, but the sum over all nodes would overload it.
     const SharedLimit* limit = m_mayBeLimited ? server.limit(now) : nullptr;
     return limit == nullptr ||
            limit->lets(uniformDraw(criteria.draw, deployment::lifeHash(*server.instance())), criteria.rank, now);
@@ -209,7 +209,7 @@
     const double share = std::max(server.failureShare(now), server.isSuspect(now) ? suspectShare : 0.0);
     const double risk = share * (criteria.repeatable ? failurePenalty : lossPenalty);
     const double ejection = server.ejected(now) ? ejectedPenalty : 0;
-    // Filling an instance also slows down what it works on already.
+    // Filling an instance also slows down the requests that it is processing.
     const double crowdingCost =
         server.crowding(m_work.baseline().otherRequests, now) * (m_work.baseline().crowdedSlowdown - 1);
     return server.finishMs(workMs, m_work.baseline(), now) + crowdingCost * workMs +
--- a/src/sailpath/balance/WarmUpLimit.cpp
+++ b/src/sailpath/balance/WarmUpLimit.cpp
@@ -7,10 +7,10 @@
 {
 namespace
 {
-constexpr auto startupDelay =
-    std::chrono::seconds{2};              // A node that starts has heard of all others by then; also longer
-                                          // than the second over which a former life's requests count
-constexpr double minKnownShare = 2.0 / 3; // Of the fleet that a node may know and the bound still holds
+// By then a starting node knows all other nodes. Also longer than the second in which requests of the previous process
+// still count.
+constexpr auto   startupDelay = std::chrono::seconds{2};
+constexpr double minKnownShare = 2.0 / 3; // Share of the fleet that a node must know for the bound to hold
 
 } // namespace
 
--- a/src/sailpath/balance/WorkEstimator.cpp
+++ b/src/sailpath/balance/WorkEstimator.cpp
@@ -6,15 +6,15 @@
 {
 namespace
 {
-constexpr double   otherRequestsGain = 0.05;     // Share of one report in the pool's mean
-constexpr double   slowdownGain = 0.03;          // Share of one report in the pool's mean
-constexpr double   workGain = 0.05;              // Share of one answer in the usual work
-constexpr double   crowdedAbove = 0.5;           // Crowding from which an answer tells of the slowdown
-constexpr double   crowdedSlowdownGain = 0.03;   // Share of one answer in the slowdown of crowded instances
-constexpr double   initialCrowdedSlowdown = 1.4; // Of crowded instances, until answers tell
+constexpr double   otherRequestsGain = 0.05;   // Weight of one load report in the moving average
+constexpr double   slowdownGain = 0.03;        // Weight of one load report in the moving average
+constexpr double   workGain = 0.05;            // Weight of one answer in the usual processing time
+constexpr double   crowdedAbove = 0.5;         // Crowding above which an answer tells the slowdown of crowded instances
+constexpr double   crowdedSlowdownGain = 0.03; // Weight of one answer in that slowdown
+constexpr double   initialCrowdedSlowdown = 1.4; // Assumed until answers arrive
 constexpr double   maxCrowdedSlowdown = 4;
-constexpr unsigned minAnswers = 3; // Of a route, before its usual work is relied on
-constexpr auto     firstExplorationInterval = std::chrono::milliseconds{250}; // Doubles
+constexpr unsigned minAnswers = 3; // Answers of a route before its usual processing time is relied on
+constexpr auto     firstExplorationInterval = std::chrono::milliseconds{250}; // Doubles with each exploration
 constexpr unsigned maxExplorationDoublings = 5;                               // To 8 s
 
 } // namespace
@@ -65,7 +65,7 @@
 {
     const double observedRatio = std::clamp(latencyMs / std::max(1.0, expectedMs), 0.1, 5.0);
     RouteWork&   work = m_routes.try_emplace(std::string(route), RouteWork{m_baseline.workMs, 0}).first->second;
-    // The first answers count for more: the start is only what other routes take.
+    // The first answers weigh more, as the initial value is only the mean of other routes.
     ++work.answers;
     const bool crowded = crowding > crowdedAbove && work.answers > minAnswers;
     if (crowded)
@@ -77,7 +77,7 @@
     }
     else
         m_uncrowdedRatio += crowdedSlowdownGain * (observedRatio - m_uncrowdedRatio);
-    // What a crowded instance takes longer is mostly the crowding's doing.
+    // A longer time at a crowded instance is mostly caused by the crowding.
     const double gain = crowded ? workGain / 5 : std::max(workGain, 1.0 / (work.answers + 1));
     work.ms *= 1 + gain * (observedRatio - 1);
     m_baseline.workMs += workGain * (work.ms - m_baseline.workMs);
