--- a/src/sailpath/balance/ServerView.cpp
+++ b/src/sailpath/balance/ServerView.cpp
@@ -315,8 +315,8 @@
 ////////////////////////////////////////////////////////////
 double ServerView::currentSlowdown(double baseline, core::Timestamp now) const
 {
-    // The reported slowdown of a cold instance already includes its warm-up. If that were counted twice, requests that it
-    // can answer in time would seem late, and instances that return cold would stay idle.
+    // The reported slowdown of a cold instance already includes its warm-up. Counted twice, it would make requests that
+    // the instance can answer in time seem late, and instances that return cold would stay idle.
     const double expected = baseline * (cold(now) ? coldSlowdown : 1);
     if (!m_report)
         return expected;
--- a/test/balance/BalancerModel.test.cpp
+++ b/test/balance/BalancerModel.test.cpp
@@ -25,7 +25,7 @@
 constexpr double         probeRate = 20;
 
 ////////////////////////////////////////////////////////////
-/// \brief Several nodes before the same servers in virtual time; what they do is held against the rules
+/// \brief Simulates several nodes with the same servers in virtual time and checks what the nodes do against the rules
 ////////////////////////////////////////////////////////////
 class Model
 {
@@ -62,19 +62,19 @@
         while (m_now < until)
         {
             m_now += 1ms;
-            disturb();
+            injectChanges();
             for (auto& node : m_nodes)
             {
-                if (m_random.unit() < (m_rush ? 0.08 : 0.02))
-                    arrive(node);
-                advance(node);
+                if (m_random.unit() < (m_burst ? 0.08 : 0.02))
+                    admitRequest(node);
+                advanceNode(node);
             }
         }
     }
 
     void check() const
     {
-        BOOST_TEST(m_broken.empty(), m_broken);
+        BOOST_TEST(m_violation.empty(), m_violation);
         for (core::Timestamp from = m_start; from < m_now; from += 500ms)
         {
             const auto within = [&](const std::vector<core::Timestamp>& times, core::Duration earlier = {})
@@ -83,15 +83,15 @@
                     times.begin(), times.end(),
                     [&](core::Timestamp time) { return time >= from - earlier && time < from - earlier + window; }));
             };
-            // A send may follow its request a window later at most; the busiest of the windows before counts.
+            // A retry follows its request within one window, so the busiest of the possible windows counts.
             const double requests =
                 std::max({within(m_arrivals), within(m_arrivals, window), within(m_arrivals, window / 2)});
-            BOOST_TEST(within(m_further) <= ratio * requests + extra);
+            BOOST_TEST(within(m_retries) <= ratio * requests + extra);
         }
         const double seconds = core::toSeconds(m_now - m_start);
-        BOOST_TEST(static_cast<double>(m_probes) <=
+        BOOST_TEST(static_cast<double>(m_probeCount) <=
                    probeRate * static_cast<double>(m_declared.instances.size()) * (seconds + 4));
-        BOOST_TEST(m_answered > 0U);
+        BOOST_TEST(m_answerCount > 0U);
     }
 
 private:
@@ -110,9 +110,9 @@
         std::map<std::pair<Ticket, unsigned>, Sent> sent;
         std::map<std::pair<Ticket, unsigned>, Sent> probes;
         std::map<Ticket, core::Timestamp>           open;
-        std::map<Ticket, std::set<std::string>>     maybeRan;
-        std::map<Ticket, unsigned>                  sends;
-        std::set<Ticket>                            onlyOnce;
+        std::map<Ticket, std::set<std::string>>     possiblyRan;
+        std::map<Ticket, unsigned>                  sendCount;
+        std::set<Ticket>                            notRepeatable;
     };
 
     void addServer()
@@ -141,38 +141,38 @@
         node.balancer->configure(m_declared, m_now);
     }
 
-    void disturb()
+    void injectChanges()
     {
         if (m_random.unit() < 0.0005)
-            m_rush = !m_rush;
+            m_burst = !m_burst;
         if (m_random.unit() < 0.0005)
-            m_illness = m_random.unit();
+            m_failureRate = m_random.unit();
         if (m_random.unit() < 0.0003)
             restart(m_nodes[m_random.below(nodes)]);
         if (m_random.unit() < 0.0005)
         {
-            const auto victim = m_random.below(m_declared.instances.size());
-            m_drained.insert(m_declared.instances[victim].id);
-            m_declared.instances[victim].draining = true;
+            const auto index = m_random.below(m_declared.instances.size());
+            m_drained.insert(m_declared.instances[index].id);
+            m_declared.instances[index].draining = true;
             addServer();
             for (auto& node : m_nodes)
                 node.balancer->configure(m_declared, m_now);
         }
     }
 
-    void arrive(Node& node)
+    void admitRequest(Node& node)
     {
         const Ticket ticket = m_nextTicket++;
         const bool   once = m_random.unit() < 0.3;
         node.open[ticket] = m_now;
         if (once)
-            node.onlyOnce.insert(ticket);
+            node.notRepeatable.insert(ticket);
         m_arrivals.push_back(m_now);
         node.balancer->admit(ticket, {"a.example", once ? "/pay/1" : "/read/1", m_now, 2s}, m_now);
-        take(node);
+        applySteps(node);
     }
 
-    void advance(Node& node)
+    void advanceNode(Node& node)
     {
         for (auto* list : {&node.probes, &node.sent})
         {
@@ -191,10 +191,10 @@
                 else
                 {
                     if (sent.outcome.end == AttemptEnd::NotRun)
-                        node.maybeRan[key.first].erase(std::to_string(key.second));
+                        node.possiblyRan[key.first].erase(std::to_string(key.second));
                     node.balancer->attemptEnded(key.first, key.second, sent.outcome, m_now);
                 }
-                take(node);
+                applySteps(node);
                 item = list->begin();
             }
         }
@@ -202,21 +202,21 @@
         {
             node.balancer->callerLeft(node.open.begin()->first, m_now);
             node.open.erase(node.open.begin());
-            take(node);
+            applySteps(node);
         }
         if (const auto due = node.balancer->nextDue(); due && *due <= m_now)
         {
             node.balancer->due(m_now);
-            take(node);
+            applySteps(node);
         }
         for (const auto& [ticket, since] : node.open)
         {
             if (m_now - since > timeout + 5ms)
-                m_broken = "request held past its route's time";
+                m_violation = "a request was held longer than the timeout of its route";
         }
     }
 
-    void take(Node& node)
+    void applySteps(Node& node)
     {
         std::vector<Step> steps;
         node.balancer->takeSteps(steps);
@@ -226,24 +226,24 @@
             switch (step.kind)
             {
             case StepKind::Probe:
-                ++m_probes;
+                ++m_probeCount;
                 node.probes[key] = {m_now + 1ms + core::Duration(m_random.below(4000)), outcome(true), true};
                 break;
             case StepKind::Forward:
                 sent(node, step);
                 break;
             case StepKind::Check:
-                break; // No connection ends here.
+                break; // No connection ends in this model
             case StepKind::Abandon:
                 node.sent.erase(key);
                 break;
             case StepKind::Answer:
-                ++m_answered;
+                ++m_answerCount;
                 node.open.erase(step.ticket);
                 break;
             case StepKind::Refuse:
-                if (!step.refusal.mayHaveRun && !node.maybeRan[step.ticket].empty())
-                    m_broken = "a refusal says not run of what may have run";
+                if (!step.refusal.mayHaveRun && !node.possiblyRan[step.ticket].empty())
+                    m_violation = "a refusal states that a request did not run although it may have";
                 node.open.erase(step.ticket);
                 break;
             }
@@ -252,42 +252,42 @@
 
     void sent(Node& node, const Step& step)
     {
-        auto& ran = node.maybeRan[step.ticket];
-        if (node.onlyOnce.contains(step.ticket) && !ran.empty())
-            m_broken = "what may not be repeated was sent again while it may have run";
+        auto& ran = node.possiblyRan[step.ticket];
+        if (node.notRepeatable.contains(step.ticket) && !ran.empty())
+            m_violation = "a request that may not be repeated was sent again while it may have run";
         if (m_drained.contains(step.instance->id))
-            m_broken = "a leaving server got a request";
-        Sent entry{m_now + 20ms + core::Duration(m_random.below(m_random.unit() < m_illness ? 2'000'000 : 200'000)),
+            m_violation = "a draining server got a request";
+        Sent entry{m_now + 20ms + core::Duration(m_random.below(m_random.unit() < m_failureRate ? 2'000'000 : 200'000)),
                    outcome(false), false};
         const bool reached = entry.outcome.end != AttemptEnd::NotSent;
         if (reached)
         {
             ran.insert(std::to_string(step.attempt));
-            if (++node.sends[step.ticket] > attempts)
-                m_broken = "sent to more servers than allowed";
-            if (node.sends[step.ticket] > 1)
-                m_further.push_back(m_now);
+            if (++node.sendCount[step.ticket] > attempts)
+                m_violation = "a request was sent more often than allowed";
+            if (node.sendCount[step.ticket] > 1)
+                m_retries.push_back(m_now);
         }
         node.sent[{step.ticket, step.attempt}] = entry;
     }
 
     Outcome outcome(bool probe)
     {
-        Outcome got;
-        got.end = AttemptEnd::Answered;
-        got.status = 200;
-        got.load = Load{static_cast<unsigned>(m_random.below(4)), static_cast<unsigned>(m_random.below(3)), 3,
-                        m_random.unit() < 0.35 ? 5.0 : 1.0};
-        if (m_random.unit() > m_illness)
-            return got;
-        got.load.reset();
-        const auto which = m_random.below(probe ? 2 : 4);
-        got.end = which == 0   ? AttemptEnd::Lost
-                  : which == 1 ? AttemptEnd::NotSent
-                  : which == 2 ? AttemptEnd::NotRun
-                               : AttemptEnd::Answered;
-        got.status = which == 3 ? 500 : 0;
-        return got;
+        Outcome result;
+        result.end = AttemptEnd::Answered;
+        result.status = 200;
+        result.load = Load{static_cast<unsigned>(m_random.below(4)), static_cast<unsigned>(m_random.below(3)), 3,
+                           m_random.unit() < 0.35 ? 5.0 : 1.0};
+        if (m_random.unit() > m_failureRate)
+            return result;
+        result.load.reset();
+        const auto failureKind = m_random.below(probe ? 2 : 4);
+        result.end = failureKind == 0   ? AttemptEnd::Lost
+                     : failureKind == 1 ? AttemptEnd::NotSent
+                     : failureKind == 2 ? AttemptEnd::NotRun
+                                        : AttemptEnd::Answered;
+        result.status = failureKind == 3 ? 500 : 0;
+        return result;
     }
 
     core::Random                 m_random;
@@ -297,12 +297,12 @@
     std::array<Node, nodes>      m_nodes;
     std::set<std::string>        m_drained;
     std::vector<core::Timestamp> m_arrivals;
-    std::vector<core::Timestamp> m_further;
-    std::string                  m_broken;
-    std::size_t                  m_probes{0};
-    std::size_t                  m_answered{0};
-    double                       m_illness{0.05};
-    bool                         m_rush{false};
+    std::vector<core::Timestamp> m_retries;
+    std::string                  m_violation;
+    std::size_t                  m_probeCount{0};
+    std::size_t                  m_answerCount{0};
+    double                       m_failureRate{0.05};
+    bool                         m_burst{false};
     int                          m_nextServer{1};
     Ticket                       m_nextTicket{1};
 };
@@ -312,9 +312,11 @@
 BOOST_AUTO_TEST_SUITE(BalancerModelTest)
 
 ////////////////////////////////////////////////////////////
-/// Random schedules against the rules: once at most, true refusals, nothing to
-/// leaving servers, attempts, retry budget of all nodes in every window, rate
-/// of probes, final answers in time. More by hand: SAILPATH_SCHEDULES=1000.
+/// Random schedules must keep these rules: requests that may not be repeated
+/// run at most once, rejections tell truly whether a request may have run,
+/// draining servers get no requests, and the bounds on attempts, on retries of
+/// all nodes in every window, on the probe rate and on the time to the final
+/// answer hold. SAILPATH_SCHEDULES=1000 runs more schedules.
 ////////////////////////////////////////////////////////////
 BOOST_AUTO_TEST_CASE(RandomSchedulesKeepTheRules)
 {
--- a/test/balance/CallerElapsedEstimator.test.cpp
+++ b/test/balance/CallerElapsedEstimator.test.cpp
@@ -10,9 +10,9 @@
 using balance::CallerElapsedEstimator;
 
 ////////////////////////////////////////////////////////////
-/// \brief A caller's whole time, drawn from the last part of it
+/// \brief Draw the timeout of a caller: 4 s less up to `spread` of it
 ////////////////////////////////////////////////////////////
-core::Duration wholeTime(core::Random& random, double spread)
+core::Duration drawTimeout(core::Random& random, double spread)
 {
     return core::fromMilliseconds(4000 * (1 - spread * random.unit()));
 }
@@ -21,17 +21,17 @@
 
 BOOST_AUTO_TEST_SUITE(CallerPatienceTest)
 
-BOOST_AUTO_TEST_CASE(WhereCallersBeginWithTheSameTimeOneThatComesBackIsKnown)
+BOOST_AUTO_TEST_CASE(WithEqualTimeoutsARetryIsRecognised)
 {
     CallerElapsedEstimator estimator;
     for (int i = 0; i < 40; ++i)
-        (void)estimator.observe(i % 3 == 0 ? 3982ms : 4000ms); // Some had to connect first
+        (void)estimator.observe(i % 3 == 0 ? 3982ms : 4000ms); // Some callers first had to connect
     BOOST_TEST(estimator.timeoutsAreUniform());
     BOOST_TEST((estimator.observe(4000ms) == 0ms));
     BOOST_TEST((estimator.observe(3700ms) == 300ms));
 }
 
-BOOST_AUTO_TEST_CASE(WhereCallersBeginWithDifferentTimesNobodyIsTakenForLate)
+BOOST_AUTO_TEST_CASE(WithDifferentTimeoutsFewCallersAreTakenForRetries)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
@@ -39,12 +39,12 @@
         CallerElapsedEstimator estimator;
         unsigned               misjudged = 0;
         for (int i = 0; i < 500; ++i)
-            misjudged += estimator.observe(wholeTime(random, 0.16)) > 100ms ? 1 : 0;
+            misjudged += estimator.observe(drawTimeout(random, 0.16)) > 100ms ? 1 : 0;
         BOOST_TEST(misjudged <= 25U, "seed " << seed << ": " << misjudged);
     }
 }
 
-BOOST_AUTO_TEST_CASE(InAShortageInWhichMostComeBackTheBeliefLasts)
+BOOST_AUTO_TEST_CASE(DuringAnOverloadWithManyRetriesTheEstimateContinues)
 {
     unsigned lost = 0;
     unsigned all = 0;
@@ -56,10 +56,10 @@
             (void)estimator.observe(4000ms);
         for (int i = 0; i < 500; ++i)
         {
-            // Each is refused twice and comes back after 100 to 300 ms.
-            const auto back = core::fromMilliseconds(100 + 200 * random.unit());
-            const auto tries = random.below(3);
-            (void)estimator.observe(4000ms - tries * back);
+            // Each request is rejected up to twice and retried after 100 to 300 ms.
+            const auto delay = core::fromMilliseconds(100 + 200 * random.unit());
+            const auto attempts = random.below(3);
+            (void)estimator.observe(4000ms - attempts * delay);
             lost += estimator.timeoutsAreUniform() ? 0 : 1;
             ++all;
         }
@@ -67,7 +67,7 @@
     BOOST_TEST(lost * 20 <= all, lost << " of " << all);
 }
 
-BOOST_AUTO_TEST_CASE(OneOddCallerMakesNobodyLate)
+BOOST_AUTO_TEST_CASE(ASingleLongerTimeoutMakesNoOtherCallerLate)
 {
     CallerElapsedEstimator estimator;
     for (int i = 0; i < 40; ++i)
@@ -76,7 +76,7 @@
     BOOST_TEST((estimator.observe(4000ms) == 0ms));
 }
 
-BOOST_AUTO_TEST_CASE(NothingIsBelievedOfTheFirst)
+BOOST_AUTO_TEST_CASE(TheFirstRequestsGetNoEstimate)
 {
     CallerElapsedEstimator estimator;
     for (int i = 0; i < 4; ++i)
--- a/test/balance/Changes.test.cpp
+++ b/test/balance/Changes.test.cpp
@@ -11,7 +11,7 @@
 using balance::StepKind;
 
 ////////////////////////////////////////////////////////////
-/// \brief Three servers that were told whole, and what changes of them
+/// \brief A balancer with three servers from a full configuration, and helpers to apply changes to it
 ////////////////////////////////////////////////////////////
 struct ChangesFixture : support::OneRouteFixture
 {
@@ -29,16 +29,16 @@
     void change(std::vector<deployment::Instance> present, std::vector<deployment::Instance> gone,
                 std::set<std::string> evacuated = {})
     {
-        deployment::Declared told = declared;
-        told.whole = false;
-        told.instances = std::move(present);
-        told.gone = std::move(gone);
-        told.evacuated = std::move(evacuated);
-        balancer.configure(told, now);
+        deployment::Declared changes = declared;
+        changes.whole = false;
+        changes.instances = std::move(present);
+        changes.gone = std::move(gone);
+        changes.evacuated = std::move(evacuated);
+        balancer.configure(changes, now);
     }
 
-    /// \brief Servers that requests are sent to
-    std::set<std::string> used()
+    /// \brief Send 60 requests and return the servers that got any
+    std::set<std::string> usedServers()
     {
         std::set<std::string> ids;
         for (int i = 0; i < 60; ++i)
@@ -50,64 +50,64 @@
                     ids.insert(step.instance->id);
             }
             if (i % 3 == 2)
-                finish();
+                answerAll();
         }
-        finish();
+        answerAll();
         return ids;
     }
 
-    /// \brief Answers come after the work that is expected, so that no server looks quicker than others
-    void finish()
+    /// \brief Answer all requests after the expected time, so that no server looks faster than the others
+    void answerAll()
     {
         now += 175ms;
-        for (; done < ticket; ++done)
-            balancer.attemptEnded(done + 1, 1, {balance::AttemptEnd::Answered, 200}, now);
+        for (; answered < ticket; ++answered)
+            balancer.attemptEnded(answered + 1, 1, {balance::AttemptEnd::Answered, 200}, now);
         (void)steps();
     }
 
     balance::Ticket ticket{0};
-    balance::Ticket done{0};
+    balance::Ticket answered{0};
 };
 
 } // namespace
 
 BOOST_FIXTURE_TEST_SUITE(ChangesTest, ChangesFixture)
 
-BOOST_AUTO_TEST_CASE(WhatIsNotToldStaysAsItWas)
+BOOST_AUTO_TEST_CASE(AnEmptyChangeKeepsAllServers)
 {
     change({}, {});
-    BOOST_TEST((used() == std::set<std::string>{"s0", "s1", "s2"}));
+    BOOST_TEST((usedServers() == std::set<std::string>{"s0", "s1", "s2"}));
 }
 
-BOOST_AUTO_TEST_CASE(OneThatIsGoneOrDrainsGetsNothingMoreAndANewOneIsUsed)
+BOOST_AUTO_TEST_CASE(ARemovedOrDrainingServerGetsNoRequestsAndANewOneIsUsed)
 {
     change({instanceOf("s1", true), instanceOf("s3")}, {instanceOf("s0")});
-    BOOST_TEST((used() == std::set<std::string>{"s2", "s3"}));
+    BOOST_TEST((usedServers() == std::set<std::string>{"s2", "s3"}));
 }
 
-BOOST_AUTO_TEST_CASE(AServerThatComesBackUnderAnotherServiceLeavesTheFormer)
+BOOST_AUTO_TEST_CASE(AServerThatMovesToAnotherServiceLeavesTheFormer)
 {
     deployment::Instance moved = instanceOf("s0");
     moved.service = "other";
     change({moved}, {instanceOf("s0")});
-    BOOST_TEST((used() == std::set<std::string>{"s1", "s2"}));
+    BOOST_TEST((usedServers() == std::set<std::string>{"s1", "s2"}));
 }
 
-BOOST_AUTO_TEST_CASE(AnEvacuatedDataCentreIsLeftAndTakenBack)
+BOOST_AUTO_TEST_CASE(AnEvacuatedDataCentreGetsNoRequestsUntilItIsReinstated)
 {
     change({}, {}, {"dc"});
-    BOOST_TEST(used().empty());
+    BOOST_TEST(usedServers().empty());
     change({}, {});
     now += 10s;
-    BOOST_TEST((used() == std::set<std::string>{"s0", "s1", "s2"}));
+    BOOST_TEST((usedServers() == std::set<std::string>{"s0", "s1", "s2"}));
 }
 
-BOOST_AUTO_TEST_CASE(AServerThatStartedAgainIsMetAsANewOne)
+BOOST_AUTO_TEST_CASE(ARestartedServerIsTreatedAsANewOne)
 {
-    deployment::Instance again = instanceOf("s0");
-    again.born = 7;
-    change({again}, {});
-    BOOST_TEST((used() == std::set<std::string>{"s0", "s1", "s2"}));
+    deployment::Instance restarted = instanceOf("s0");
+    restarted.born = 7;
+    change({restarted}, {});
+    BOOST_TEST((usedServers() == std::set<std::string>{"s0", "s1", "s2"}));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/balance/ColdServers.test.cpp
+++ b/test/balance/ColdServers.test.cpp
@@ -32,22 +32,22 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief What comes of a data centre whose servers come back cold while load is at its worst
+/// \brief Result of a run in which the servers of a data centre return cold during an overload
 ////////////////////////////////////////////////////////////
 struct ColdReturn
 {
-    std::size_t mostInSecond{0}; //!< Requests at one cold server within a second
+    std::size_t mostInSecond{0}; //!< Most requests at one cold server within a second
     std::size_t atCold{0};       //!< Requests at cold servers
-    double      inTarget{0};     //!< Share of requests meanwhile
+    double      inTarget{0};     //!< Share of requests answered within the target
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Lose most servers, bring those of one data centre back cold; the load is many times what the others can do
+/// \brief Lose most servers, then add cold ones in one data centre while the load is many times the remaining capacity
 ///
-/// \param limited Whether the service declares what its cold servers bear
+/// \param limited Whether the service declares a warm-up rate for its cold servers
 ////////////////////////////////////////////////////////////
-ColdReturn play(unsigned nodes, bool limited, double membersKnown, std::uint64_t seed,
-                const std::function<void(ServiceModel&)>& meanwhile = {})
+ColdReturn runColdReturn(unsigned nodes, bool limited, double membersKnown, std::uint64_t seed,
+                         const std::function<void(ServiceModel&)>& afterJoin = {})
 {
     ModelSettings settings;
     settings.nodes = nodes;
@@ -90,17 +90,17 @@
     model.beginCount();
     for (unsigned i = 0; i < serversOfDataCentre; ++i)
         model.join(serverOf("new" + std::to_string(i), 0));
-    if (meanwhile)
-        meanwhile(model);
+    if (afterJoin)
+        afterJoin(model);
     model.run(4s);
     return {model.mostAtCold(), model.allAtCold(), model.tally(0).targetShare()};
 }
 
 ////////////////////////////////////////////////////////////
-void print(const std::string& what, unsigned nodes, const ColdReturn& seen)
+void print(const std::string& what, unsigned nodes, const ColdReturn& result)
 {
-    std::cout << what << ", " << nodes << " nodes: most requests a second at a cold server " << seen.mostInSecond
-              << ", at cold servers " << seen.atCold << ", in target " << seen.inTarget << '\n';
+    std::cout << what << ", " << nodes << " nodes: most requests a second at a cold server " << result.mostInSecond
+              << ", at cold servers " << result.atCold << ", in target " << result.inTarget << '\n';
 }
 
 } // namespace
@@ -157,7 +157,7 @@
     BOOST_TEST(mean <= mostInSecond);
 }
 
-BOOST_AUTO_TEST_CASE(ANodeThatJustStartedOrKnowsNobodySendsNothingToColdServers)
+BOOST_AUTO_TEST_CASE(ANodeThatJustStartedOrKnowsNoMembersSendsNothingToColdServers)
 {
     const auto  members = membersOf(3);
     WarmUpLimit limit(members[0], start);
@@ -173,7 +173,7 @@
     constexpr unsigned      nodes = 95;
     constexpr std::uint32_t instances = 950;
     const auto              members = membersOf(nodes);
-    std::vector<unsigned>   own;
+    std::vector<unsigned>   chosenCounts;
     for (const std::uint32_t self : members)
     {
         WarmUpLimit limit(self, start);
@@ -182,48 +182,48 @@
         unsigned count = 0;
         for (std::uint32_t instance = 0; instance < instances; ++instance)
             count += limit.isChosen(instance * 2654435761U, start + 5s) ? 1 : 0;
-        own.push_back(count);
+        chosenCounts.push_back(count);
     }
-    BOOST_TEST(*std::min_element(own.begin(), own.end()) >= 25U); // 50 on average
-    BOOST_TEST(*std::max_element(own.begin(), own.end()) <= 100U);
+    BOOST_TEST(*std::min_element(chosenCounts.begin(), chosenCounts.end()) >= 25U); // The mean is 50
+    BOOST_TEST(*std::max_element(chosenCounts.begin(), chosenCounts.end()) <= 100U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
 
 BOOST_AUTO_TEST_SUITE(ColdServersTest)
 
-BOOST_AUTO_TEST_CASE(WithoutALimitManyNodesFloodAColdServer)
+BOOST_AUTO_TEST_CASE(WithoutALimitManyNodesOverloadAColdServer)
 {
-    // The rule that the other cases are held against has to see a fault.
+    // Shows that the bound checked by the other cases is exceeded without the limit.
     std::size_t most = 0;
     for (const std::uint64_t seed : {1U, 2U, 3U})
     {
-        const ColdReturn seen = play(95, false, 1, seed);
-        print("no limit", 95, seen);
-        most = std::max(most, seen.mostInSecond);
+        const ColdReturn result = runColdReturn(95, false, 1, seed);
+        print("no limit", 95, result);
+        most = std::max(most, result.mostInSecond);
     }
     BOOST_TEST(static_cast<double>(most) > mostInSecond);
 }
 
-BOOST_AUTO_TEST_CASE(AColdServerNeverGetsMoreThanItBearsFromAllNodesTogether)
+BOOST_AUTO_TEST_CASE(TheSumOverAllNodesAtAColdServerStaysWithinTheBound)
 {
     for (const unsigned nodes : {2U, 13U, 95U, 473U})
     {
         for (const std::uint64_t seed : {1U, 2U})
         {
-            const ColdReturn seen = play(nodes, true, 1, seed);
-            print("limited", nodes, seen);
-            BOOST_TEST(static_cast<double>(seen.mostInSecond) <= mostInSecond);
-            BOOST_TEST(seen.atCold > 0U);
+            const ColdReturn result = runColdReturn(nodes, true, 1, seed);
+            print("limited", nodes, result);
+            BOOST_TEST(static_cast<double>(result.mostInSecond) <= mostInSecond);
+            BOOST_TEST(result.atCold > 0U);
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(NorWhenNodesKnowTwoThirdsOfTheOthersOrStartAnew)
+BOOST_AUTO_TEST_CASE(TheBoundAlsoHoldsWhenNodesKnowTwoThirdsOfTheOthersOrRestart)
 {
     for (const std::uint64_t seed : {1U, 2U})
     {
-        const ColdReturn part = play(95, true, 0.67, seed);
+        const ColdReturn part = runColdReturn(95, true, 0.67, seed);
         print("two thirds known", 95, part);
         BOOST_TEST(static_cast<double>(part.mostInSecond) <= mostInSecond);
         const auto restartAll = [](ServiceModel& model)
@@ -234,7 +234,7 @@
                 model.run(10ms);
             }
         };
-        const ColdReturn restarted = play(95, true, 1, seed, restartAll);
+        const ColdReturn restarted = runColdReturn(95, true, 1, seed, restartAll);
         print("all restarted", 95, restarted);
         BOOST_TEST(static_cast<double>(restarted.mostInSecond) <= mostInSecond);
     }
--- a/test/balance/FewSlots.test.cpp
+++ b/test/balance/FewSlots.test.cpp
@@ -17,15 +17,16 @@
 constexpr unsigned servers = 48;
 
 ////////////////////////////////////////////////////////////
-/// \brief Servers of two slots, slower when both are taken, a third of the time five times slower, before many nodes
+/// \brief Run many nodes with servers of two slots and return the counts of their requests
 ///
-/// A request has two and a half times its work, and its callers begin with different times.
+/// The servers are slower when both slots are taken, and five times slower for a third of the time.
+/// The target is two and a half times the processing time, and callers start with different timeouts.
 ///
 /// \param perServer Requests a second for each server
 ///
-/// \return Share answered in time; of all tries, so one that is refused and comes back counts once
+/// \return Counts of requests; one that is rejected and retried counts once
 ////////////////////////////////////////////////////////////
-ServiceModel::Tally play(double perServer, std::uint64_t seed)
+ServiceModel::Tally runModel(double perServer, std::uint64_t seed)
 {
     ModelSettings settings;
     settings.nodes = nodes;
@@ -71,11 +72,11 @@
 }
 
 ////////////////////////////////////////////////////////////
-double inTarget(double perServer)
+double meanInTarget(double perServer)
 {
     double sum = 0;
     for (const std::uint64_t seed : {1U, 2U, 3U})
-        sum += play(perServer, seed).targetShare() / 3;
+        sum += runModel(perServer, seed).targetShare() / 3;
     std::cout << "mean in target " << sum << '\n';
     return sum;
 }
@@ -84,19 +85,20 @@
 
 BOOST_AUTO_TEST_SUITE(FewSlotsTest)
 
-BOOST_AUTO_TEST_CASE(OnAnOrdinaryDayAlmostAllAreInTime)
+BOOST_AUTO_TEST_CASE(UnderNormalLoadAlmostAllRequestsAreInTime)
 {
-    BOOST_TEST(inTarget(2.0) >= 0.975); // 0.967 when the first server that will do is taken, 0.981 when one looks on
+    // 0.967 if a search takes the first suitable server, 0.981 if it probes further.
+    BOOST_TEST(meanInTarget(2.0) >= 0.975);
 }
 
-BOOST_AUTO_TEST_CASE(UnderABurstRequestsFindTheSlotsThatAreFree)
+BOOST_AUTO_TEST_CASE(UnderABurstRequestsFindTheFreeSlots)
 {
-    BOOST_TEST(inTarget(3.2) >= 0.96); // 0.934 and 0.977
+    BOOST_TEST(meanInTarget(3.2) >= 0.96); // 0.934 and 0.977, as above
 }
 
-BOOST_AUTO_TEST_CASE(PastWhatServersCanDoASearchEndsWhereThereIsRoom)
+BOOST_AUTO_TEST_CASE(BeyondCapacityASearchEndsAtAServerWithAFreeSlot)
 {
-    BOOST_TEST(inTarget(5.0) >= 0.745); // 0.729 and 0.758
+    BOOST_TEST(meanInTarget(5.0) >= 0.745); // 0.729 and 0.758, as above
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/balance/JoiningServers.test.cpp
+++ b/test/balance/JoiningServers.test.cpp
@@ -14,16 +14,16 @@
 using support::ServiceModel;
 
 constexpr unsigned       dataCentres = 3;
-constexpr core::Duration bound = 8s; // Four seconds for the configuration and the first word, four of calm
+constexpr core::Duration bound = 8s; // 4 s for the configuration and the first load report, 4 s at low load
 
 ////////////////////////////////////////////////////////////
-/// \brief Let servers join a calm service; the longest time until one of them gets a request
+/// \brief Add servers to a service at low load and return the longest time until one of them gets its first request
 ///
-/// \param perSecond Requests for the service
-/// \param joining   New servers in each data centre
+/// \param perSecond Requests a second for the service
+/// \param joining   Number of new servers in each data centre
 ////////////////////////////////////////////////////////////
-core::Duration longestUntilAsked(const std::string& name, unsigned nodes, unsigned servers, double perSecond,
-                                 unsigned joining, double noiseShare, bool nearFirst = true)
+core::Duration longestTimeToFirstRequest(const std::string& name, unsigned nodes, unsigned servers, double perSecond,
+                                         unsigned joining, double noiseShare, bool nearFirst = true)
 {
     core::Duration longest{};
     unsigned       within = 0;
@@ -43,15 +43,15 @@
         kind.patience = 2s;
         kind.workMs = 80;
         kind.perSecond = perSecond;
-        std::vector<ModelServer> old;
+        std::vector<ModelServer> existing;
         for (unsigned i = 0; i < servers; ++i)
         {
             ModelServer server;
             server.id = "old" + std::to_string(i);
             server.dataCentre = "dc" + std::to_string(i % dataCentres);
-            old.push_back(server);
+            existing.push_back(server);
         }
-        ServiceModel model(settings, {kind}, old);
+        ServiceModel model(settings, {kind}, existing);
         model.run(15s);
         const core::Timestamp joined = model.now();
         for (unsigned i = 0; i < joining * dataCentres; ++i)
@@ -65,9 +65,9 @@
         for (unsigned i = 0; i < joining * dataCentres; ++i)
         {
             const std::string id = "new" + std::to_string(i);
-            const auto        first = model.got(id) == 0 ? 30s : model.firstGot(id) - joined;
-            longest = std::max<core::Duration>(longest, first);
-            within += first <= bound ? 1 : 0;
+            const auto        delay = model.got(id) == 0 ? 30s : model.firstGot(id) - joined;
+            longest = std::max<core::Duration>(longest, delay);
+            within += delay <= bound ? 1 : 0;
             ++all;
         }
     }
@@ -81,43 +81,43 @@
 
 BOOST_AUTO_TEST_SUITE(JoiningServersTest)
 
-BOOST_AUTO_TEST_CASE(OneThatJoinsInEachDataCentreGetsRequests)
+BOOST_AUTO_TEST_CASE(AJoiningServerInEachDataCentreGetsRequests)
 {
-    BOOST_TEST((longestUntilAsked("usual", 12, 14, 80, 1, 0.35) <= bound));
+    BOOST_TEST((longestTimeToFirstRequest("usual", 12, 14, 80, 1, 0.35) <= bound));
 }
 
-BOOST_AUTO_TEST_CASE(OneThatJoinsGetsRequestsOfManyNodesWithFewEach)
+BOOST_AUTO_TEST_CASE(AJoiningServerGetsRequestsOfManyNodesWithFewEach)
 {
-    BOOST_TEST((longestUntilAsked("many nodes", 90, 14, 80, 1, 0.35) <= bound));
+    BOOST_TEST((longestTimeToFirstRequest("many nodes", 90, 14, 80, 1, 0.35) <= bound));
 }
 
-BOOST_AUTO_TEST_CASE(OneThatJoinsManyServersGetsRequestsOfManyNodes)
+BOOST_AUTO_TEST_CASE(AServerThatJoinsManyOthersGetsRequestsOfManyNodes)
 {
-    BOOST_TEST((longestUntilAsked("many nodes, more servers", 90, 42, 160, 1, 0.35) <= bound));
+    BOOST_TEST((longestTimeToFirstRequest("many nodes, more servers", 90, 42, 160, 1, 0.35) <= bound));
 }
 
-BOOST_AUTO_TEST_CASE(OneThatJoinsAQuietServiceGetsRequests)
+BOOST_AUTO_TEST_CASE(AServerThatJoinsAQuietServiceGetsRequests)
 {
-    BOOST_TEST((longestUntilAsked("quiet", 12, 14, 20, 1, 0.35) <= bound));
-    BOOST_TEST((longestUntilAsked("quiet, many nodes", 90, 14, 20, 1, 0.35) <= bound));
+    BOOST_TEST((longestTimeToFirstRequest("quiet", 12, 14, 20, 1, 0.35) <= bound));
+    BOOST_TEST((longestTimeToFirstRequest("quiet, many nodes", 90, 14, 20, 1, 0.35) <= bound));
 }
 
-BOOST_AUTO_TEST_CASE(OneThatJoinsServersOfAnEvenPaceGetsRequests)
+BOOST_AUTO_TEST_CASE(AServerThatJoinsServersOfEvenSpeedGetsRequests)
 {
-    BOOST_TEST((longestUntilAsked("even pace", 12, 14, 80, 1, 0) <= bound));
-    BOOST_TEST((longestUntilAsked("even pace, many nodes", 90, 14, 80, 1, 0) <= bound));
-    BOOST_TEST((longestUntilAsked("even pace, quiet", 12, 14, 20, 1, 0) <= bound));
+    BOOST_TEST((longestTimeToFirstRequest("even pace", 12, 14, 80, 1, 0) <= bound));
+    BOOST_TEST((longestTimeToFirstRequest("even pace, many nodes", 90, 14, 80, 1, 0) <= bound));
+    BOOST_TEST((longestTimeToFirstRequest("even pace, quiet", 12, 14, 20, 1, 0) <= bound));
 }
 
-BOOST_AUTO_TEST_CASE(ManyThatJoinTogetherGetRequests)
+BOOST_AUTO_TEST_CASE(ManyServersThatJoinTogetherGetRequests)
 {
-    BOOST_TEST((longestUntilAsked("together", 12, 14, 80, 4, 0.35) <= bound));
-    BOOST_TEST((longestUntilAsked("together, many nodes", 90, 14, 80, 4, 0.35) <= bound));
+    BOOST_TEST((longestTimeToFirstRequest("together", 12, 14, 80, 4, 0.35) <= bound));
+    BOOST_TEST((longestTimeToFirstRequest("together, many nodes", 90, 14, 80, 4, 0.35) <= bound));
 }
 
-BOOST_AUTO_TEST_CASE(WithoutPreferenceForTheOwnDataCentreOneThatJoinsGetsRequests)
+BOOST_AUTO_TEST_CASE(WithoutPreferenceForTheLocalDataCentreAJoiningServerGetsRequests)
 {
-    BOOST_TEST((longestUntilAsked("anywhere", 12, 14, 80, 1, 0.35, false) <= bound));
+    BOOST_TEST((longestTimeToFirstRequest("anywhere", 12, 14, 80, 1, 0.35, false) <= bound));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/balance/ManyServers.test.cpp
+++ b/test/balance/ManyServers.test.cpp
@@ -15,7 +15,7 @@
 constexpr unsigned        dataCentres = 6;
 
 ////////////////////////////////////////////////////////////
-std::string centre(unsigned number)
+std::string dataCentreOf(unsigned number)
 {
     return "dc" + std::to_string(number % dataCentres);
 }
@@ -23,11 +23,11 @@
 ////////////////////////////////////////////////////////////
 deployment::Instance instanceOf(unsigned number)
 {
-    return {"server-" + std::to_string(number), "portal", "10.0.0.1", 80, centre(number), 3, false, {}};
+    return {"server-" + std::to_string(number), "portal", "10.0.0.1", 80, dataCentreOf(number), 3, false, {}};
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief A service of many servers, as one of many nodes sees it
+/// \brief The pool of one of many nodes for a service with many servers
 ////////////////////////////////////////////////////////////
 struct Node
 {
@@ -44,12 +44,12 @@
     static balance::Settings settingsOf(unsigned number)
     {
         balance::Settings settings;
-        settings.dataCentre = centre(number);
+        settings.dataCentre = dataCentreOf(number);
         settings.self = deployment::shortHash("node-" + std::to_string(number));
         return settings;
     }
 
-    [[nodiscard]] std::set<std::string> own() const
+    [[nodiscard]] std::set<std::string> subsetIds() const
     {
         std::set<std::string> ids;
         for (const auto& server : pool.subset().servers())
@@ -60,28 +60,28 @@
     balance::Settings          settings;
     balance::ServicePool       pool;
     core::Random               random{1};
-    balance::SelectionCriteria wish{"read", true, {}};
+    balance::SelectionCriteria criteria{"read", true, {}};
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(ManyServersTest)
 
-BOOST_AUTO_TEST_CASE(ASearchCostsTheSameWhateverTheNumberOfServers)
+BOOST_AUTO_TEST_CASE(TheCostOfASearchIsIndependentOfTheNumberOfServers)
 {
     for (const unsigned servers : {250U, 1000U, 4000U, 20000U})
     {
         Node node(1, servers);
-        node.wish.firstRound = true;
+        node.criteria.firstRound = true;
         const auto before = node.pool.examinedCount();
-        (void)node.pool.choose(node.wish, start, node.random);
-        const auto asked = node.pool.selectProbeTargets(node.wish, {}, 4, start, node.random);
-        BOOST_TEST(asked.size() == 4U);
+        (void)node.pool.choose(node.criteria, start, node.random);
+        const auto probed = node.pool.selectProbeTargets(node.criteria, {}, 4, start, node.random);
+        BOOST_TEST(probed.size() == 4U);
         BOOST_TEST(node.pool.examinedCount() - before <= 200U, servers);
     }
 }
 
-BOOST_AUTO_TEST_CASE(AChangeOfOneServerCostsTheSameWhateverTheirNumber)
+BOOST_AUTO_TEST_CASE(TheCostOfAddingAServerIsIndependentOfTheNumberOfServers)
 {
     for (const unsigned servers : {250U, 1000U, 4000U, 20000U})
     {
@@ -94,10 +94,10 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(SmallServicesAreLookedAtWhole)
+BOOST_AUTO_TEST_CASE(TheSubsetOfASmallServiceHoldsAllServers)
 {
     const Node node(1, 40);
-    BOOST_TEST(node.own().size() == 40U);
+    BOOST_TEST(node.subsetIds().size() == 40U);
 }
 
 BOOST_AUTO_TEST_CASE(NodesSpreadOverTheServersOfTheirDataCentre)
@@ -108,7 +108,7 @@
         for (unsigned i = 0; i < nodes; ++i)
         {
             const Node node(i, servers);
-            for (const std::string& id : node.own())
+            for (const std::string& id : node.subsetIds())
                 ++holders[id];
         }
         unsigned most = 0;
@@ -120,25 +120,25 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(WhenServersOfTheSubsetLeaveOthersTakeTheirPlace)
+BOOST_AUTO_TEST_CASE(RemovedServersOfTheSubsetAreReplaced)
 {
     Node                  node(1, 1000);
-    std::set<std::string> before = node.own();
+    std::set<std::string> before = node.subsetIds();
     for (const std::string& id : before)
         node.pool.remove(id);
-    const auto after = node.own();
+    const auto after = node.subsetIds();
     BOOST_TEST(after.size() == 64U);
     for (const std::string& id : after)
         BOOST_TEST(!before.contains(id), id);
-    // And one that leaves changes one place only.
+    // The removal of one server changes one place only.
     node.pool.remove(*after.begin());
     std::set<std::string> kept;
-    const auto            now = node.own();
+    const auto            now = node.subsetIds();
     std::set_intersection(after.begin(), after.end(), now.begin(), now.end(), std::inserter(kept, kept.end()));
     BOOST_TEST(kept.size() == 63U);
 }
 
-BOOST_AUTO_TEST_CASE(WhenTheWholeSubsetFailsOthersAreFound)
+BOOST_AUTO_TEST_CASE(IfTheWholeSubsetFailsOtherServersAreProbed)
 {
     Node node(1, 1000);
     for (const auto& server : node.pool.subset().servers())
@@ -146,33 +146,33 @@
         for (int i = 0; i < 6; ++i)
             server->recordFailure(start);
     }
-    const auto                        own = node.own();
-    std::vector<balance::ServerView*> asked;
+    const auto                        subsetIds = node.subsetIds();
+    std::vector<balance::ServerView*> probed;
     std::set<std::string>             others;
     for (int round = 0; round < 4; ++round)
     {
-        for (const auto& server : node.pool.selectProbeTargets(node.wish, asked, 4, start, node.random))
+        for (const auto& server : node.pool.selectProbeTargets(node.criteria, probed, 4, start, node.random))
         {
-            asked.push_back(server.get());
-            if (!own.contains(server->instance()->id))
+            probed.push_back(server.get());
+            if (!subsetIds.contains(server->instance()->id))
                 others.insert(server->instance()->id);
         }
     }
     BOOST_TEST(others.size() >= 8U);
 }
 
-BOOST_AUTO_TEST_CASE(AServerThatLeftDuringASearchIsNotChosen)
+BOOST_AUTO_TEST_CASE(AServerRemovedDuringASearchIsNotChosen)
 {
     Node       node(1, 1000);
-    const auto asked = node.pool.selectProbeTargets(node.wish, {}, 4, start, node.random);
-    for (const auto& server : asked)
+    const auto probed = node.pool.selectProbeTargets(node.criteria, {}, 4, start, node.random);
+    for (const auto& server : probed)
     {
         server->recordReport({0, 0, 3, 0.1}, start);
         node.pool.remove(server->instance()->id);
     }
-    node.wish.probed = asked;
-    node.wish.maxReportAge = 15ms;
-    BOOST_TEST(!node.pool.choose(node.wish, start, node.random).server);
+    node.criteria.probed = probed;
+    node.criteria.maxReportAge = 15ms;
+    BOOST_TEST(!node.pool.choose(node.criteria, start, node.random).server);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/balance/RetryWindow.test.cpp
+++ b/test/balance/RetryWindow.test.cpp
@@ -28,14 +28,14 @@
 
 BOOST_AUTO_TEST_SUITE(RetryWindowTest)
 
-BOOST_AUTO_TEST_CASE(ANewLifeHasNoExtra)
+BOOST_AUTO_TEST_CASE(AStartingNodeHasNoExtraRetries)
 {
     RetryWindow budget(window, ratio, core::Timestamp{1h});
     BOOST_TEST(!budget.take(10, core::Timestamp{1h} + 5s));
     BOOST_TEST(budget.take(10, core::Timestamp{1h} + 11s));
 }
 
-BOOST_AUTO_TEST_CASE(TheShareFollowsTheRequestsOfTheWindow)
+BOOST_AUTO_TEST_CASE(TheRatioAppliesToTheRequestsOfTheWindow)
 {
     core::Timestamp now{1h};
     RetryWindow     budget(window, ratio, now);
@@ -48,7 +48,7 @@
     BOOST_TEST(!budget.take(0, now + 11s));
 }
 
-BOOST_AUTO_TEST_CASE(TheSumOverNodesKeepsTheBudgetInEveryWindowOverRestartsAndRushes)
+BOOST_AUTO_TEST_CASE(TheSumOverNodesKeepsTheBudgetInEveryWindowDespiteRestartsAndBursts)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
@@ -63,17 +63,17 @@
         for (int step = 0; step < 6000; ++step)
         {
             now += 10ms;
-            const bool rush = (step / 500) % 3 == 1;
+            const bool burst = (step / 500) % 3 == 1;
             for (auto& budget : budgets)
             {
                 if (random.unit() < 0.0005)
                     budget = std::make_unique<RetryWindow>(window, ratio, now);
-                if (random.unit() < (rush ? 0.4 : 0.02))
+                if (random.unit() < (burst ? 0.4 : 0.02))
                 {
                     budget->recordRequest(now);
                     requests.push_back(now);
                 }
-                // Everything fails all the time, so whatever is allowed is used.
+                // All requests fail, so every allowed retry is sent.
                 if (budget->take(0.6 * extra / nodes, now))
                     retries.push_back(now);
             }
--- a/test/balance/ServicePool.test.cpp
+++ b/test/balance/ServicePool.test.cpp
@@ -26,7 +26,7 @@
             pool.find(id)->setIdleConnections(1);
     }
 
-    /// \brief Tell the load of both and choose
+    /// \brief Report the load of both servers and choose one
     [[nodiscard]] balance::Choice chooseWith(unsigned onFull, unsigned onEmpty, double paceOfEmpty = 1)
     {
         pool.find("full")->recordReport(Load{onFull, 0, slots, 1}, start);
@@ -34,17 +34,17 @@
         return pool.choose(SelectionCriteria{"read", false, {}}, start, random);
     }
 
-    /// \brief Learn from answers of servers with and without room
+    /// \brief Learn from answers of an idle and of a full server
     void learn(double slowdown, int answers)
     {
         for (int i = 0; i < answers; ++i)
         {
             pool.work().learn("read", workMs, workMs, 0);
-            pool.work().learn("read", slowdown * workMs, pool.find("full")->finishMs(workMs, usualOf(), start), 1);
+            pool.work().learn("read", slowdown * workMs, pool.find("full")->finishMs(workMs, baseline(), start), 1);
         }
     }
 
-    /// \brief The slowdown that the pool works with, read off its estimate for a full server
+    /// \brief Return the slowdown assumed by the pool, derived from its estimate for a full server
     [[nodiscard]] double slowdown()
     {
         pool.find("full")->recordReport(Load{slots - 1, 0, slots, 1}, start);
@@ -52,7 +52,7 @@
         return pool.choose(SelectionCriteria{"read", false, {}}, start, random).finishMs / pool.work().ms("read");
     }
 
-    [[nodiscard]] balance::Baseline usualOf()
+    [[nodiscard]] balance::Baseline baseline()
     {
         return {workMs, 0, 1, slowdown()};
     }
@@ -68,27 +68,27 @@
 
 BOOST_AUTO_TEST_CASE(TheSlowdownOfFullServersIsLearned)
 {
-    BOOST_TEST(slowdown() > 1.35); // What is assumed until answers tell
+    BOOST_TEST(slowdown() > 1.35); // Assumed until answers arrive
     BOOST_TEST(slowdown() < 1.45);
     learn(1.7, 400);
     BOOST_TEST(slowdown() > 1.5);
     BOOST_TEST(slowdown() < 1.9);
 }
 
-BOOST_AUTO_TEST_CASE(WithoutASlowdownNoneIsAssumed)
+BOOST_AUTO_TEST_CASE(WithoutASlowdownNoneIsLearned)
 {
     learn(1.0, 400);
     BOOST_TEST(slowdown() < 1.05);
 }
 
-BOOST_AUTO_TEST_CASE(AnEmptierServerIsPreferredWhenFullOnesAreSlower)
+BOOST_AUTO_TEST_CASE(AnEmptierServerIsPreferredIfFullOnesAreSlower)
 {
     learn(1.7, 400);
     for (int i = 0; i < 50; ++i)
         BOOST_TEST(chooseWith(slots - 1, 0, 1.4).server->instance()->id == "empty");
 }
 
-BOOST_AUTO_TEST_CASE(AFreeServerIsExpectedToTakeItsUsualWork)
+BOOST_AUTO_TEST_CASE(AnIdleServerIsExpectedToTakeItsUsualTime)
 {
     learn(1.7, 400);
     const auto choice = chooseWith(slots, 0);
