--- a/include/sailpath/balance/CallerElapsedEstimator.hpp
+++ b/include/sailpath/balance/CallerElapsedEstimator.hpp
@@ -39,8 +39,8 @@
     static constexpr std::size_t maxSamples = 64; // Requests; a few seconds of one route at one of hundreds of nodes
 
     [[nodiscard]] double referenceMs() const;
-    [[nodiscard]] double
-    logOdds(double referenceMs) const; //!< Logarithm of the odds that callers start with the same timeout
+    /// \brief Return the logarithm of the odds that callers start with the same timeout
+    [[nodiscard]] double logOdds(double referenceMs) const;
 
     std::array<double, maxSamples> m_samplesMs{};    //!< Latest stated remaining times, milliseconds; a ring buffer
     std::size_t                    m_count{0};       //!< Remaining times recorded since the start
--- a/include/sailpath/balance/Pressure.hpp
+++ b/include/sailpath/balance/Pressure.hpp
@@ -15,9 +15,9 @@
     void recordAdmitted(core::Timestamp now); //!< A request that could be in time was sent to a server
     void recordRejected(core::Timestamp now); //!< A request that could be in time was rejected because of load
 
-    [[nodiscard]] bool active(core::Timestamp now) const; //!< Whether a request was rejected within the last 2 s
-    [[nodiscard]] bool
-    high(core::Timestamp now) const; //!< Whether `active`, and more requests are rejected than admitted
+    [[nodiscard]] bool active(core::Timestamp now) const; //!< Whether a request was rejected recently
+    /// \brief Whether `active`, and more requests are rejected than admitted
+    [[nodiscard]] bool high(core::Timestamp now) const;
 
 private:
     void record(double rejected, core::Timestamp now);
--- a/include/sailpath/balance/ServicePool.hpp
+++ b/include/sailpath/balance/ServicePool.hpp
@@ -62,8 +62,8 @@
 {
     Other,     //!< Some instance has none of the following reasons
     Evacuated, //!< All instances are in evacuated data centres
-    Limited,   //!< Limited instances are sent as much as they take
-    Cold,      //!< Other nodes send what the instances take while cold
+    Limited,   //!< Instances limit their rate, and the nodes use it up
+    Cold,      //!< Instances are cold, and other nodes use up their rate
     BackOff,   //!< The instances asked for no requests for a while
     Leaving    //!< The instances announced that they leave
 };
--- a/include/sailpath/balance/WarmUpLimit.hpp
+++ b/include/sailpath/balance/WarmUpLimit.hpp
@@ -43,13 +43,14 @@
     WarmUpLimit(std::uint32_t self, core::Timestamp startedAt);
 
     void setBound(const WarmUpBound& bound);                 //!< Set the bound of each instance
-    void setMembers(std::span<const std::uint32_t> members); //!< Short hashes of all nodes, this one included
+    void setMembers(std::span<const std::uint32_t> members); //!< Set the short hashes of all nodes, this one included
 
-    [[nodiscard]] bool     hasBound() const; //!< Whether a bound is set
-    [[nodiscard]] bool     isChosen(std::uint32_t   instance,
-                                    core::Timestamp now); //!< Whether this node may send to the instance at all
-    [[nodiscard]] double   ratePerNode() const;           //!< Requests a second that a chosen node may send
-    [[nodiscard]] unsigned senderCount() const;           //!< Number of nodes chosen for an instance
+    [[nodiscard]] bool hasBound() const; //!< Whether a bound is set
+    /// \brief Whether this node may send to the instance at all
+    [[nodiscard]] bool isChosen(std::uint32_t instance, core::Timestamp now);
+
+    [[nodiscard]] double   ratePerNode() const; //!< Requests a second that a chosen node may send
+    [[nodiscard]] unsigned senderCount() const; //!< Number of nodes chosen for an instance
 
 private:
     [[nodiscard]] bool ranksAmongFirst(std::uint32_t instance) const;
--- a/include/sailpath/balance/WorkEstimator.hpp
+++ b/include/sailpath/balance/WorkEstimator.hpp
@@ -39,8 +39,9 @@
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool allowExploration(std::string_view route, core::Timestamp now);
 
-    [[nodiscard]] double
-    ms(std::string_view route) const; //!< Usual processing time of a request of the route, milliseconds
+    /// \brief Return the usual processing time of a request of the route, milliseconds
+    [[nodiscard]] double ms(std::string_view route) const;
+
     [[nodiscard]] bool hasLearned(std::string_view route) const; //!< Whether enough answers of the route were seen
     [[nodiscard]] const Baseline& baseline() const;              //!< Recent values over all routes
 
--- a/src/sailpath/balance/CallerElapsedEstimator.cpp
+++ b/src/sailpath/balance/CallerElapsedEstimator.cpp
@@ -15,9 +15,9 @@
 constexpr double nearShareIfUniform = 0.4;
 // Expected share of remaining times near the longest one if timeouts are spread over a tenth of it or more.
 constexpr double nearShareIfSpread = 0.1;
-// Logarithm of the odds: reached by three near samples beside the two longest ones and no distant one.
+// Logarithm of the odds, reached by three near samples beside the two longest ones and no distant one.
 constexpr double logOddsToAccept = 3.5;
-// Logarithm of the odds: as unlikely to be reached by chance when most requests are retries.
+// Logarithm of the odds. Chance alone seldom moves the odds this far, even when most requests are retries.
 constexpr double logOddsToDrop = -10;
 
 } // namespace
@@ -30,7 +30,7 @@
     ++m_count;
     const double fullMs = referenceMs();
     m_uniform = logOdds(fullMs) >= (m_uniform ? logOddsToDrop : logOddsToAccept);
-    // With callers of different timeouts, the mean worth of days with faults was 0.65 if every stated time was used,
+    // With callers of different timeouts, the mean score of days with faults was 0.65 if every stated time was used,
     // and 0.72 with this check.
     return m_uniform ? core::fromMilliseconds(std::max(0.0, fullMs - remainingMs)) : core::Duration{};
 }
--- a/src/sailpath/balance/ServerView.cpp
+++ b/src/sailpath/balance/ServerView.cpp
@@ -14,10 +14,11 @@
 constexpr double   failureGain = 0.3;        // Weight of one attempt in the failure share
 constexpr double   failureHalfLifeMs = 3000; // Half-life of the failure share without further attempts
 constexpr double   crowdedFrom = 0.7;        // Share of slots taken from which an instance may become slower
-constexpr unsigned failuresToEject = 2;      // In a row
+constexpr unsigned failuresToEject = 2;      // Failures in a row
 constexpr auto     firstEjection = std::chrono::milliseconds{800};
 constexpr auto     maxEjection = std::chrono::seconds{6};
-constexpr auto     observationLife = std::chrono::seconds{4}; // Two or more requests of all nodes reach a server in it
+// Two or more requests of all nodes reach a server in this time.
+constexpr auto     observationLife = std::chrono::seconds{4};
 // An instance is suspect if its observers exceed this many times the mean of the other instances, plus one. So a node
 // with a bad link, which sees all instances fail, makes no instance a suspect.
 constexpr double   observerRatio = 3;
@@ -26,8 +27,8 @@
 // A suspicion within this time after the end of the last one lasts twice as long.
 constexpr auto     suspicionMemory = std::chrono::seconds{10};
 constexpr unsigned maxSuspicionDoublings = 2;
-// Decay of the requests counted before a limit was known: the part of a second that a third of the rate cannot make up
-// for by itself.
+// Decay time of the count of requests sent before a limit was known: the part of a second that a limit to a third of
+// the former rate cannot make up for by itself.
 constexpr double   recentDecayMs = 600;
 constexpr auto     firstFullPeriod = std::chrono::milliseconds{60};
 constexpr auto     maxFullPeriod = std::chrono::milliseconds{1000};
