--- a/include/sailpath/balance/Balancer.hpp
+++ b/include/sailpath/balance/Balancer.hpp
@@ -368,11 +368,11 @@
     void                         abandonRunning(Ticket ticket, Request& request, core::Timestamp now);
     void                         scheduleWake(Ticket ticket, Request& request, core::Timestamp now);
     void                         close(Ticket ticket);
-    [[nodiscard]] Wish           wishOf(const Request& request) const;
+    [[nodiscard]] SelectionCriteria           wishOf(const Request& request) const;
     [[nodiscard]] double         retryExtra() const; //!< This node's part of the retries beyond `retryRatio`
     [[nodiscard]] core::Duration retryAfterForTurn(double openness);
     [[nodiscard]] core::Duration retryAfterBackOff(core::Duration backOff);
-    [[nodiscard]] core::Duration retryAfterShortage(Shortage shortage, const ServicePool& pool, core::Timestamp now);
+    [[nodiscard]] core::Duration retryAfterShortage(NoServerReason shortage, const ServicePool& pool, core::Timestamp now);
     [[nodiscard]] core::Duration retryAfterWork(const ServicePool& pool, double expectedMs);
 
     Settings                                      m_settings;    //!< Constants
--- a/src/sailpath/balance/BalancerAdmission.cpp
+++ b/src/sailpath/balance/BalancerAdmission.cpp
@@ -66,8 +66,8 @@
     // The caller has stopped waiting, and serving the request would only take a server's time from others.
     if (request.deadline <= now)
         return refuse(ticket, {RefusalReason::TimedOut, false, m_settings.defaultRetryAfter});
-    request.pool->retries().requested(now);
-    request.firstTriedAt = request.firstByteAt - request.pool->arrived(*route, arrival.timeLeft, now);
+    request.pool->retries().recordRequest(now);
+    request.firstTriedAt = request.firstByteAt - request.pool->recordArrival(*route, arrival.timeLeft, now);
     startSearch(ticket, m_requests.emplace(ticket, std::move(request)).first->second, now);
 }
 
@@ -102,17 +102,17 @@
     if (!m_settings.admissionControl)
         return false;
     if (!mayBeInTime(request, now))
-        return pool.pressed(rank, now) || pool.full(server, now) || exceedsDeadline(request, choice, now);
+        return pool.underPressure(rank, now) || pool.wouldLoseThroughput(server, now) || exceedsDeadline(request, choice, now);
     if (isAdmissible(request, choice, now))
     {
-        pool.letIn(rank, now);
+        pool.recordAdmitted(rank, now);
         return false;
     }
     // A few requests of a route with unknown service time are sent as a trial; the estimate keeps the others from
     // overloading full servers.
-    if (pool.work().tryOut(request.route.name, now))
+    if (pool.work().allowExploration(request.route.name, now))
         return false;
-    pool.turnedAway(rank, now);
+    pool.recordRejected(rank, now);
     return true;
 }
 
@@ -125,7 +125,7 @@
     const double   passed = core::toMilliseconds(now - request.firstTriedAt);
     const double   most = maxAdmittedMs(core::toMilliseconds(request.route.targetLatency), rank);
     const bool     late = passed + choice.finishMs > most || exceedsDeadline(request, choice, now);
-    const bool     crowds = request.pool->highlyPressed(rank, now) && request.pool->full(*choice.server, now);
+    const bool     crowds = request.pool->underHighPressure(rank, now) && request.pool->wouldLoseThroughput(*choice.server, now);
     return !late && !crowds && !delaysMoreUrgent(request, *choice.server, now);
 }
 
@@ -148,12 +148,12 @@
 {
     const ServicePool& pool = *request.pool;
     const double       passed = core::toMilliseconds(now - request.firstTriedAt);
-    const auto         delayed = [&](const std::string& name, const RouteSeen& route)
+    const auto         delayed = [&](const std::string& name, const RouteActivity& route)
     {
-        if (route.rank >= request.route.priority || now - route.at > routeActiveFor || !pool.work().knows(name))
+        if (route.rank >= request.route.priority || now - route.lastRequestAt > routeActiveFor || !pool.work().hasLearned(name))
             return false;
         const double between = 1 + rankStep * (request.route.priority - route.rank);
-        const double limit = maxAdmittedMs(core::toMilliseconds(route.target), route.rank) / between;
+        const double limit = maxAdmittedMs(core::toMilliseconds(route.targetLatency), route.rank) / between;
         // A route whose service time takes most of its target gains nothing when others give way.
         return passed + pool.finishMs(server, name, now) > std::max(ownDelayWorks * pool.work().ms(name), limit);
     };
--- a/src/sailpath/balance/BalancerLimits.cpp
+++ b/src/sailpath/balance/BalancerLimits.cpp
@@ -18,11 +18,11 @@
 void Balancer::learnLimit(ServicePool& pool, ServerView& server, double perSecond, core::Timestamp now)
 {
     const bool first = server.limit(now) == nullptr;
-    if (!server.toldLimit(perSecond, now, 0, now))
+    if (!server.updateLimit(perSecond, now, 0, now))
         return;
-    pool.limited();
+    pool.markLimited();
     m_limitChanges.push_back({server.instance(), perSecond, 0});
-    addLimitNews(server, first ? server.recent(now) : 0, now);
+    addLimitNews(server, first ? server.recentRequests(now) : 0, now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -54,14 +54,14 @@
             if (!server)
                 continue;
             const bool first = server->limit(now) == nullptr;
-            if (server->toldLimit(one.perSecond, now - one.ago, one.doublings, now))
+            if (server->updateLimit(one.perSecond, now - one.ago, one.doublings, now))
                 m_limitChanges.push_back({server->instance(), one.perSecond, one.node});
-            pool->limited();
+            pool->markLimited();
             // The first report already includes the reporting node's requests in its openness.
             if (!first)
                 server->sentElsewhere(one.sent, one.doublings, now);
-            else if (server->limit(now) != nullptr && server->recent(now) > minReportedRequests)
-                addLimitNews(*server, server->recent(now), now);
+            else if (server->limit(now) != nullptr && server->recentRequests(now) > minReportedRequests)
+                addLimitNews(*server, server->recentRequests(now), now);
         }
     }
 }
--- a/src/sailpath/balance/BalancerSearch.cpp
+++ b/src/sailpath/balance/BalancerSearch.cpp
@@ -18,21 +18,21 @@
 constexpr double   minGoodShare = 0.06;
 
 ////////////////////////////////////////////////////////////
-RefusalReason reasonOf(Shortage shortage)
+RefusalReason reasonOf(NoServerReason shortage)
 {
     switch (shortage)
     {
-    case Shortage::Evacuated:
+    case NoServerReason::Evacuated:
         return RefusalReason::Evacuated;
-    case Shortage::Limited:
+    case NoServerReason::Limited:
         return RefusalReason::AllLimited;
-    case Shortage::Cold:
+    case NoServerReason::Cold:
         return RefusalReason::AllCold;
-    case Shortage::BackOff:
+    case NoServerReason::BackOff:
         return RefusalReason::AllBackOff;
-    case Shortage::Leaving:
+    case NoServerReason::Leaving:
         return RefusalReason::AllLeaving;
-    case Shortage::Other:
+    case NoServerReason::Other:
         break;
     }
     return RefusalReason::NoServer;
@@ -45,10 +45,10 @@
 {
     request.search = Search{};
     request.draw = static_cast<std::uint32_t>(core::mix(static_cast<std::uint32_t>(m_settings.seed), ++m_searchCount));
-    request.rank = request.pool->anyLimited(now) ? request.pool->moreUrgent(request.route.priority, now) : 0;
+    request.rank = request.pool->hasLimitedInstance(now) ? request.pool->countMoreUrgentRanks(request.route.priority, now) : 0;
     // Under load, a retrying caller's request that can no longer be in time yields to requests that can.
     const bool gated = m_settings.admissionControl && request.attempts.empty();
-    if (gated && request.pool->pressed(request.route.priority, now) && !mayBeInTime(request, now))
+    if (gated && request.pool->underPressure(request.route.priority, now) && !mayBeInTime(request, now))
     {
         Refusal refusal{RefusalReason::CameBackLate, false, retryAfterWork(*request.pool, 0)};
         refusal.triedFor = request.firstByteAt - request.firstTriedAt;
@@ -66,15 +66,15 @@
 void Balancer::beginRound(Ticket ticket, Request& request, core::Timestamp now)
 {
     Search& search = request.search;
-    Wish    wish = wishOf(request);
-    wish.first = search.probes.empty();
-    wish.nearFirst = m_settings.nearFirst && wish.first;
+    SelectionCriteria    wish = wishOf(request);
+    wish.firstRound = search.probes.empty();
+    wish.localFirst = m_settings.nearFirst && wish.firstRound;
     const unsigned most = search.probes.empty() ? m_settings.probesInFirstRound : m_settings.probesPerRound;
-    auto           servers = request.pool->worthProbing(wish, search.asked, most, now, m_random);
+    auto           servers = request.pool->selectProbeTargets(wish, search.asked, most, now, m_random);
     if (servers.empty())
     {
         search.asked.clear();
-        servers = request.pool->worthProbing(wish, search.asked, most, now, m_random);
+        servers = request.pool->selectProbeTargets(wish, search.asked, most, now, m_random);
     }
     search.pausing = false;
     search.pendingProbes = 0;
@@ -113,14 +113,14 @@
     ServerView& server = *search.probes[probe - 1];
     learnLoad(*request.pool, server, outcome, now);
     if (outcome.load)
-        request.pool->noteFound(looksGood(request, request.pool->finishMs(server, request.route.name, now)));
+        request.pool->recordProbeResult(looksGood(request, request.pool->finishMs(server, request.route.name, now)));
     if (!outcome.load && (outcome.end == AttemptEnd::Lost || outcome.end == AttemptEnd::NotSent))
-        server.failed(now);
+        server.recordFailure(now);
     if (!search.active || search.pausing || probe <= search.roundStart)
         return;
     --search.pendingProbes;
-    Wish wish = wishOf(request);
-    wish.freshest = m_settings.freshReportAge;
+    SelectionCriteria wish = wishOf(request);
+    wish.maxReportAge = m_settings.freshReportAge;
     const Choice choice = request.pool->choose(wish, now, m_random);
     if (choice.server && isGood(request, choice, now))
         return finishSearch(ticket, request, choice, now);
@@ -142,7 +142,7 @@
         return beginRound(ticket, request, now);
     // A server that would refuse the request for load does not end the search, as the next probed one may have room.
     // During a shortage further probes find nothing and occupy what little room is left.
-    const bool shortage = request.pool->highlyPressed(request.route.priority, now);
+    const bool shortage = request.pool->underHighPressure(request.route.priority, now);
     const bool takes = shortage || !request.attempts.empty() || isAdmissible(request, choice, now);
     if (takes && meetsTarget(request, choice.finishMs, now))
     {
@@ -215,7 +215,7 @@
     }
     if (!choice.server)
     {
-        const Shortage shortage = request.pool->shortage(now);
+        const NoServerReason shortage = request.pool->noServerReason(now);
         refuse(ticket, {reasonOf(shortage), false, retryAfterShortage(shortage, *request.pool, now)});
         return close(ticket);
     }
@@ -230,11 +230,11 @@
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration Balancer::retryAfterShortage(Shortage shortage, const ServicePool& pool, core::Timestamp now)
+core::Duration Balancer::retryAfterShortage(NoServerReason shortage, const ServicePool& pool, core::Timestamp now)
 {
-    if (shortage == Shortage::Limited)
+    if (shortage == NoServerReason::Limited)
         return retryAfterForTurn(pool.openness(now));
-    if (shortage == Shortage::BackOff)
+    if (shortage == NoServerReason::BackOff)
         return retryAfterBackOff(pool.shortestBackOff(now));
     return m_settings.defaultRetryAfter;
 }
