--- a/include/sailpath/balance/CrashLedger.hpp
+++ b/include/sailpath/balance/CrashLedger.hpp
@@ -38,27 +38,27 @@
 class CrashLedger
 {
 public:
-    void ended(const deployment::ServerEnd& end, core::Timestamp now); //!< A server ended under a request
-    void served(const core::ContentHash& content);                     //!< A request was answered, not with a failure
-    void answers(std::uint32_t server, core::Timestamp now);           //!< An instance said something
+    void recordEnd(const deployment::ServerEnd& end, core::Timestamp now); //!< A server ended under a request
+    void recordServed(const core::ContentHash& content);           //!< A request was answered, not with a failure
+    void recordContact(std::uint32_t server, core::Timestamp now); //!< An instance said something
 
     ////////////////////////////////////////////////////////////
     /// \brief Take over what the store holds; what it held before and holds no more is over
     ////////////////////////////////////////////////////////////
-    void declare(std::span<const deployment::Quarantine> stored, core::Timestamp now);
+    void applyStored(std::span<const deployment::Quarantine> stored, core::Timestamp now);
 
     [[nodiscard]] bool        empty() const; //!< No request needs to be looked up
-    [[nodiscard]] std::size_t suspicion(const core::ContentHash& content,
+    [[nodiscard]] std::size_t countEnds(const core::ContentHash& content,
                                         core::Timestamp          now) const; //!< Servers that ended under it
 
     ////////////////////////////////////////////////////////////
     /// \brief Why a request is sent to no server; null when it may be
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] const deployment::Quarantine* find(const deployment::RequestIdentity& request,
-                                                     core::Timestamp                    now) const;
+    [[nodiscard]] const deployment::Quarantine* findQuarantine(const deployment::RequestIdentity& request,
+                                                               core::Timestamp                    now) const;
 
-    [[nodiscard]] std::vector<deployment::Quarantine> takeConcluded(); //!< New or wider since; over: taken back
-    [[nodiscard]] std::vector<deployment::Quarantine> list(core::Timestamp now) const; //!< In force
+    [[nodiscard]] std::vector<deployment::Quarantine> takeChanged(); //!< New or wider since; over: taken back
+    [[nodiscard]] std::vector<deployment::Quarantine> listInForce(core::Timestamp now) const; //!< In force
 
 private:
     /// \brief One end that counts against a request
--- a/include/sailpath/balance/LimitState.hpp
+++ b/include/sailpath/balance/LimitState.hpp
@@ -16,12 +16,12 @@
 ////////////////////////////////////////////////////////////
 struct LimitState
 {
-    std::shared_ptr<const deployment::Instance> instance;             //!< Which
-    double                                      perSecond{unlimited}; //!< That it takes from all nodes together
-    core::Timestamp                             since{};              //!< It takes less than everything
-    double                                      openness{1};          //!< Chance that a request may be sent there
-    double                                      sentHere{0};          //!< Requests of this node since then
-    double                                      sentByAll{0};         //!< Requests of all nodes, as far as they told
+    std::shared_ptr<const deployment::Instance> instance;                //!< Which
+    double                                      perSecond{unlimited};    //!< That it takes from all nodes together
+    core::Timestamp                             limitedSince{};          //!< It takes less than everything
+    double                                      admissionProbability{1}; //!< Chance that a request may be sent there
+    double                                      sentHere{0};             //!< Requests of this node since then
+    double                                      sentByAll{0};            //!< Requests of all nodes, as far as they told
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/NoticeState.hpp
+++ b/include/sailpath/balance/NoticeState.hpp
@@ -28,18 +28,18 @@
     ///
     /// \return What of it is new
     ////////////////////////////////////////////////////////////
-    ServerNotice hear(const ServerNotice& notice, double spread, core::Timestamp now);
+    ServerNotice record(const ServerNotice& notice, double spread, core::Timestamp now);
 
-    void sent(core::Timestamp now);        //!< This node sent it a request
-    void accepted(core::Timestamp sentAt); //!< It took a request that was sent then, and answered it
+    void recordSent(core::Timestamp now);        //!< This node sent it a request
+    void recordAccepted(core::Timestamp sentAt); //!< It took a request that was sent then, and answered it
 
-    [[nodiscard]] bool           takesOneMore(core::Timestamp now) const; //!< As far as back-offs go
-    [[nodiscard]] bool           leaving() const;                         //!< It shuts down
-    [[nodiscard]] bool           backsOff(core::Timestamp now) const;     //!< It wants nothing now
-    [[nodiscard]] core::Duration leavingFor(core::Timestamp now) const;   //!< Since it said so; 0 when it did not
-    [[nodiscard]] core::Duration backOffLeft(core::Timestamp now) const;  //!< Until it wants requests again
-    [[nodiscard]] bool           empty() const;                           //!< Nothing was ever heard
-    [[nodiscard]] bool           inForce(core::Timestamp now) const;      //!< Something of it still holds
+    [[nodiscard]] bool           mayReceiveRequest(core::Timestamp now) const; //!< As far as back-offs go
+    [[nodiscard]] bool           isLeaving() const;                            //!< It shuts down
+    [[nodiscard]] bool           isBackingOff(core::Timestamp now) const;      //!< It wants nothing now
+    [[nodiscard]] core::Duration leavingFor(core::Timestamp now) const;        //!< Since it said so; 0 when it did not
+    [[nodiscard]] core::Duration backOffLeft(core::Timestamp now) const;       //!< Until it wants requests again
+    [[nodiscard]] bool           empty() const;                                //!< Nothing was ever heard
+    [[nodiscard]] bool           isInForce(core::Timestamp now) const;         //!< Something of it still holds
 
 private:
     std::optional<core::Timestamp> m_leavingSince;   //!< When it was first heard that it shuts down
--- a/include/sailpath/balance/ServerView.hpp
+++ b/include/sailpath/balance/ServerView.hpp
@@ -58,9 +58,10 @@
     ////////////////////////////////////////////////////////////
     bool toldLimit(double perSecond, core::Timestamp at, double doublings, core::Timestamp now);
 
-    void sentElsewhere(double requests, double doublings, core::Timestamp now); //!< See `SharedLimit::sentElsewhere`
+    void sentElsewhere(double requests, double doublings,
+                       core::Timestamp now); //!< See `SharedLimit::recordSentElsewhere`
 
-    ServerNotice noticed(const ServerNotice& notice, double spread, core::Timestamp now); //!< See `NoticeState::hear`
+    ServerNotice noticed(const ServerNotice& notice, double spread, core::Timestamp now); //!< See `NoticeState::record`
 
     void accepted(core::Timestamp sentAt);                //!< It took a request that was sent then, and answered it
     void sent(core::Timestamp now);                       //!< A request was sent
--- a/include/sailpath/balance/ServicePool.hpp
+++ b/include/sailpath/balance/ServicePool.hpp
@@ -161,7 +161,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief An instance said which requests it still wants; what an earlier life of it said is passed over
     ///
-    /// \param spread See `NoticeState::hear`
+    /// \param spread See `NoticeState::record`
     ///
     /// \return What of it is new
     ////////////////////////////////////////////////////////////
--- a/include/sailpath/balance/SharedLimit.hpp
+++ b/include/sailpath/balance/SharedLimit.hpp
@@ -29,9 +29,9 @@
     ////////////////////////////////////////////////////////////
     /// \brief Begin to limit
     ///
-    /// \param doublings Binary logarithm of the openness, as another node told; 0 where this node was told first
+    /// \param log2Probability Binary logarithm of the admissionProbability, as another node told; 0 where this node was told first
     ////////////////////////////////////////////////////////////
-    SharedLimit(double doublings, core::Timestamp now);
+    SharedLimit(double log2Probability, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Hear what the instance takes
@@ -44,9 +44,9 @@
     ///
     /// \return Whether this changes what is believed
     ////////////////////////////////////////////////////////////
-    bool told(double perSecond, core::Timestamp at, core::Timestamp now);
+    bool recordLimit(double perSecond, core::Timestamp at, core::Timestamp now);
 
-    void sent(double requests, core::Timestamp now); //!< By this node
+    void recordSent(double requests, core::Timestamp now); //!< By this node
 
     ////////////////////////////////////////////////////////////
     /// \brief Another node told what it sent, and how open the instance is to it
@@ -54,9 +54,9 @@
     /// The nodes' figures draw near each other by it, so that each gets its
     /// share of what the instance takes.
     ///
-    /// \param doublings Of the other node
+    /// \param log2Probability Of the other node
     ////////////////////////////////////////////////////////////
-    void sentElsewhere(double requests, double doublings, core::Timestamp now);
+    void recordSentElsewhere(double requests, double log2Probability, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Whether the instance may be sent a request
@@ -64,18 +64,18 @@
     /// \param draw In [0, 1); the same for one request and instance, however often it is asked
     /// \param rank How many kinds of request of the service are more urgent: the more, the sooner it stands back
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] bool lets(double draw, unsigned rank, core::Timestamp now) const;
+    [[nodiscard]] bool admits(double draw, unsigned rank, core::Timestamp now) const;
 
-    [[nodiscard]] bool over(core::Timestamp now) const; //!< Nothing is limited any more
+    [[nodiscard]] bool hasEnded(core::Timestamp now) const; //!< Nothing is limited any more
     [[nodiscard]] double
-    doublings(core::Timestamp now) const; //!< Binary logarithm of the openness; over 0: some in hand
-    [[nodiscard]] double          openness(core::Timestamp now) const;  //!< Chance that a request may be sent, 0 to 1
-    [[nodiscard]] double          perSecond(core::Timestamp now) const; //!< What holds now
-    [[nodiscard]] double          word() const;                         //!< What the instance said last
-    [[nodiscard]] core::Timestamp wordAt() const;                       //!< When
-    [[nodiscard]] double          sentHere() const;                     //!< Requests of this node since it is limited
-    [[nodiscard]] double          sentByAll() const;                    //!< Requests of all nodes, as far as they told
-    [[nodiscard]] core::Timestamp since() const;                        //!< It is limited
+    log2Probability(core::Timestamp now) const; //!< Binary logarithm of the admissionProbability; over 0: some in hand
+    [[nodiscard]] double admissionProbability(core::Timestamp now) const; //!< Chance that a request may be sent, 0 to 1
+    [[nodiscard]] double perSecond(core::Timestamp now) const;            //!< What holds now
+    [[nodiscard]] double lastLimit() const;                               //!< What the instance said last
+    [[nodiscard]] core::Timestamp lastLimitAt() const;                    //!< When
+    [[nodiscard]] double          sentHere() const;                       //!< Requests of this node since it is limited
+    [[nodiscard]] double          sentByAll() const;    //!< Requests of all nodes, as far as they told
+    [[nodiscard]] core::Timestamp limitedSince() const; //!< It is limited
 
 private:
     void count(double requests, core::Timestamp now);
--- a/include/sailpath/balance/SharedRate.hpp
+++ b/include/sailpath/balance/SharedRate.hpp
@@ -9,9 +9,9 @@
 ////////////////////////////////////////////////////////////
 struct RateBound
 {
-    double perSecond{0}; //!< Requests
-    double toDouble{1};  //!< Requests not sent that double the openness
-    double inHand{1};    //!< Most requests that are saved up
+    double perSecond{0};        //!< Requests
+    double requestsToDouble{1}; //!< Requests not sent that double the admissionProbability
+    double maxSaved{1};         //!< Most requests that are saved up
 };
 
 ////////////////////////////////////////////////////////////
@@ -35,11 +35,11 @@
     ////////////////////////////////////////////////////////////
     /// \brief Begin
     ///
-    /// \param doublings Binary logarithm of the openness; over 0: requests saved up
+    /// \param log2Probability Binary logarithm of the admissionProbability; over 0: requests saved up
     ////////////////////////////////////////////////////////////
-    SharedRate(double doublings, const RateBound& bound, core::Timestamp now);
+    SharedRate(double log2Probability, const RateBound& bound, core::Timestamp now);
 
-    void settle(const RateBound& bound, core::Timestamp now);                 //!< The bound held until now
+    void advance(const RateBound& bound, core::Timestamp now);                //!< The bound held until now
     void spend(double requests, const RateBound& bound, core::Timestamp now); //!< They were sent, by any node
 
     ////////////////////////////////////////////////////////////
@@ -47,10 +47,11 @@
     ///
     /// \param weight Of the difference. What is told is old: where much is told, a large one holds the figure back.
     ////////////////////////////////////////////////////////////
-    void agree(double doublings, double weight, const RateBound& bound);
+    void moveTowards(double log2Probability, double weight, const RateBound& bound);
 
-    [[nodiscard]] double doublings(const RateBound& bound, core::Timestamp now) const; //!< See the constructor
-    [[nodiscard]] double openness(const RateBound& bound, core::Timestamp now) const;  //!< Chance of a request, 0 to 1
+    [[nodiscard]] double log2Probability(const RateBound& bound, core::Timestamp now) const; //!< See the constructor
+    [[nodiscard]] double admissionProbability(const RateBound& bound,
+                                              core::Timestamp  now) const; //!< Chance of a request, 0 to 1
 
 private:
     double          m_doublings; //!< As of `m_at`
--- a/include/sailpath/balance/WorkspaceQuotas.hpp
+++ b/include/sailpath/balance/WorkspaceQuotas.hpp
@@ -21,12 +21,12 @@
 ////////////////////////////////////////////////////////////
 struct QuotaState
 {
-    std::string workspace;    //!< Name
-    double      perSecond{0}; //!< Requests from all nodes together
-    double      burst{0};     //!< And so many more
-    double      openness{1};  //!< Chance that a request is let in
-    double      sentHere{0};  //!< Requests of this node since it has the quota
-    double      sentByAll{0}; //!< Requests of all nodes, as far as they told
+    std::string workspace;               //!< Name
+    double      perSecond{0};            //!< Requests from all nodes together
+    double      burst{0};                //!< And so many more
+    double      admissionProbability{1}; //!< Chance that a request is let in
+    double      sentHere{0};             //!< Requests of this node since it has the quota
+    double      sentByAll{0};            //!< Requests of all nodes, as far as they told
 };
 
 ////////////////////////////////////////////////////////////
@@ -56,26 +56,28 @@
     ////////////////////////////////////////////////////////////
     /// \brief Put declared quotas in force; what was used under former ones counts on
     ////////////////////////////////////////////////////////////
-    void declare(std::span<const deployment::Workspace> workspaces, unsigned nodes, core::Random& random,
-                 core::Timestamp now);
+    void configure(std::span<const deployment::Workspace> workspaces, unsigned nodes, core::Random& random,
+                   core::Timestamp now);
 
-    void heardFleet(core::Timestamp at); //!< Others could be heard then
+    void recordFleetContact(core::Timestamp at); //!< Others could be heard then
 
-    [[nodiscard]] bool   lets(std::string_view workspace, core::Random& random, core::Timestamp now) const;
-    [[nodiscard]] double openness(std::string_view workspace, core::Timestamp now) const; //!< Chance of a request
-    void                 sent(std::string_view workspace, core::Timestamp now);           //!< A request, by this node
+    [[nodiscard]] bool   admits(std::string_view workspace, core::Random& random, core::Timestamp now) const;
+    [[nodiscard]] double admissionProbability(std::string_view workspace,
+                                              core::Timestamp  now) const;             //!< Chance of a request
+    void                 recordSent(std::string_view workspace, core::Timestamp now); //!< A request, by this node
 
     ////////////////////////////////////////////////////////////
     /// \brief Another node told what it sent
     ///
     /// \return Whether it is about a workspace
     ////////////////////////////////////////////////////////////
-    bool heard(const deployment::LimitNews& news, core::Timestamp now);
+    bool recordSentElsewhere(const deployment::LimitNews& news, core::Timestamp now);
 
     void                                    takeNews(std::vector<deployment::LimitNews>& to); //!< Since the last call
-    [[nodiscard]] bool                      any() const; //!< Some quota is in force
-    [[nodiscard]] std::vector<QuotaState>   list(core::Timestamp now) const;
-    [[nodiscard]] std::optional<QuotaState> state(std::string_view workspace, core::Timestamp now) const; //!< Of one
+    [[nodiscard]] bool                      hasQuotas() const; //!< Some quota is in force
+    [[nodiscard]] std::vector<QuotaState>   listStates(core::Timestamp now) const;
+    [[nodiscard]] std::optional<QuotaState> findState(std::string_view workspace,
+                                                      core::Timestamp  now) const; //!< Of one
 
 private:
     struct Quota
--- a/src/sailpath/balance/Balancer.cpp
+++ b/src/sailpath/balance/Balancer.cpp
@@ -79,7 +79,7 @@
 void Balancer::configure(const deployment::Declared& declared, core::Timestamp now)
 {
     m_nodes = std::max(1U, declared.nodes);
-    m_crashes.declare(declared.quarantines, now);
+    m_crashes.applyStored(declared.quarantines, now);
     bool changed = declared.deployment && declared.deployment != m_deployment;
     if (changed)
     {
@@ -88,7 +88,7 @@
         m_keys = deployment::KeyTable(m_deployment);
     }
     if (m_deployment)
-        m_quotas.declare(m_deployment->workspaces, m_nodes, m_random, now);
+        m_quotas.configure(m_deployment->workspaces, m_nodes, m_random, now);
     changed = (declared.whole ? takeAll(declared, now) : takeChanged(declared, now)) || changed;
     for (const auto& [name, pool] : m_pools)
         pool->setMembers(declared.members);
@@ -249,7 +249,7 @@
 {
     ServerView& server = *attempt.server;
     if (outcome.end == AttemptEnd::Answered || outcome.end == AttemptEnd::NotRun)
-        m_crashes.answers(deployment::lifeHash(*server.instance()), now);
+        m_crashes.recordContact(deployment::lifeHash(*server.instance()), now);
     if (outcome.end == AttemptEnd::Answered)
         server.accepted(attempt.sentAt);
     learnLoad(*request.pool, server, outcome, now);
@@ -360,7 +360,7 @@
     attempt.crowding = choice.crowding;
     request.pool->sent(*choice.server, now);
     if (request.attempts.empty())
-        m_quotas.sent(request.workspace, now);
+        m_quotas.recordSent(request.workspace, now);
     if (choice.server->limit(now) != nullptr)
         noteLimit(*choice.server, 1, now);
     request.attempts.push_back(attempt);
--- a/src/sailpath/balance/BalancerAdmission.cpp
+++ b/src/sailpath/balance/BalancerAdmission.cpp
@@ -86,9 +86,10 @@
             refuse(ticket, {RefusalReason::OldKeys, false, m_settings.comeBackSoon});
         return true;
     }
-    if (m_quotas.lets(workspace->name, m_random, now))
+    if (m_quotas.admits(workspace->name, m_random, now))
         return false;
-    refuse(ticket, {RefusalReason::OverQuota, false, comeBackForTurn(m_quotas.openness(workspace->name, now))});
+    refuse(ticket,
+           {RefusalReason::OverQuota, false, comeBackForTurn(m_quotas.admissionProbability(workspace->name, now))});
     return true;
 }
 
--- a/src/sailpath/balance/BalancerCrashes.cpp
+++ b/src/sailpath/balance/BalancerCrashes.cpp
@@ -51,7 +51,7 @@
         end.request = one.identity;
         end.ran = one.lostAt - one.sentAt;
         end.ago = now - one.lostAt;
-        m_crashes.ended(end, now);
+        m_crashes.recordEnd(end, now);
         if (m_crashNews.ends.size() < mostNews)
             m_crashNews.ends.push_back(end);
     }
@@ -61,17 +61,17 @@
 void Balancer::heardCrashes(const deployment::CrashNews& news, core::Timestamp now)
 {
     for (const deployment::ServerEnd& end : news.ends)
-        m_crashes.ended(end, now);
+        m_crashes.recordEnd(end, now);
     for (const core::ContentHash& content : news.served)
-        m_crashes.served(content);
+        m_crashes.recordServed(content);
 }
 
 ////////////////////////////////////////////////////////////
 void Balancer::noteServed(const deployment::RequestIdentity& identity, core::Timestamp now)
 {
-    if (m_crashes.suspicion(identity.content, now) == 0)
+    if (m_crashes.countEnds(identity.content, now) == 0)
         return;
-    m_crashes.served(identity.content);
+    m_crashes.recordServed(identity.content);
     if (m_crashNews.served.size() < mostNews)
         m_crashNews.served.push_back(identity.content);
 }
@@ -81,7 +81,7 @@
 {
     if (!request.identity)
         return false;
-    const deployment::Quarantine* quarantine = m_crashes.find(*request.identity, now);
+    const deployment::Quarantine* quarantine = m_crashes.findQuarantine(*request.identity, now);
     if (quarantine == nullptr && !sameIsUnderWay(request))
         return false;
     Refusal refusal;
@@ -94,7 +94,7 @@
 ////////////////////////////////////////////////////////////
 bool Balancer::sameIsUnderWay(const Request& request) const
 {
-    if (m_crashes.suspicion(request.identity->content, request.since) < aloneFrom)
+    if (m_crashes.countEnds(request.identity->content, request.since) < aloneFrom)
         return false;
     return std::any_of(m_requests.begin(), m_requests.end(),
                        [&](const auto& other) {
@@ -110,8 +110,8 @@
     const bool        runs = std::any_of(request.attempts.begin(), request.attempts.end(),
                                          [](const Attempt& attempt) { return attempt.running; });
     const std::size_t most = runs ? noSecondSend : aloneFrom;
-    return m_crashes.suspicion(request.identity->content, now) >= most ||
-           m_crashes.find(*request.identity, now) != nullptr;
+    return m_crashes.countEnds(request.identity->content, now) >= most ||
+           m_crashes.findQuarantine(*request.identity, now) != nullptr;
 }
 
 ////////////////////////////////////////////////////////////
@@ -124,7 +124,7 @@
 ////////////////////////////////////////////////////////////
 std::vector<deployment::Quarantine> Balancer::takeQuarantined()
 {
-    return m_crashes.takeConcluded();
+    return m_crashes.takeChanged();
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/balance/BalancerLimits.cpp
+++ b/src/sailpath/balance/BalancerLimits.cpp
@@ -30,9 +30,9 @@
 {
     const std::uint32_t hash = deployment::lifeHash(*server.instance());
     const SharedLimit*  limit = server.limit(now);
-    const double        word = limit != nullptr ? limit->word() : unlimited;
-    const double        open = limit != nullptr ? limit->doublings(now) : 0;
-    const auto          ago = limit != nullptr ? now - limit->wordAt() : core::Duration{};
+    const double        word = limit != nullptr ? limit->lastLimit() : unlimited;
+    const double        open = limit != nullptr ? limit->log2Probability(now) : 0;
+    const auto          ago = limit != nullptr ? now - limit->lastLimitAt() : core::Duration{};
     const auto          known =
         std::find_if(m_limitNews.begin(), m_limitNews.end(), [hash](const auto& news) { return news.server == hash; });
     if (known != m_limitNews.end())
@@ -46,7 +46,7 @@
 {
     for (const deployment::LimitNews& one : news)
     {
-        if (m_quotas.heard(one, now))
+        if (m_quotas.recordSentElsewhere(one, now))
             continue;
         for (const auto& [name, pool] : m_pools)
         {
@@ -92,25 +92,25 @@
 ////////////////////////////////////////////////////////////
 std::vector<QuotaState> Balancer::quotas(core::Timestamp now) const
 {
-    return m_quotas.list(now);
+    return m_quotas.listStates(now);
 }
 
 ////////////////////////////////////////////////////////////
 std::optional<QuotaState> Balancer::quota(std::string_view workspace, core::Timestamp now) const
 {
-    return m_quotas.state(workspace, now);
+    return m_quotas.findState(workspace, now);
 }
 
 ////////////////////////////////////////////////////////////
 bool Balancer::hasQuotas() const
 {
-    return m_quotas.any();
+    return m_quotas.hasQuotas();
 }
 
 ////////////////////////////////////////////////////////////
 void Balancer::heardFleet(core::Timestamp at)
 {
-    m_quotas.heardFleet(at);
+    m_quotas.recordFleetContact(at);
 }
 
 } // namespace sailpath::balance
--- a/src/sailpath/balance/CrashLedger.cpp
+++ b/src/sailpath/balance/CrashLedger.cpp
@@ -37,7 +37,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void CrashLedger::ended(const deployment::ServerEnd& end, core::Timestamp now)
+void CrashLedger::recordEnd(const deployment::ServerEnd& end, core::Timestamp now)
 {
     const core::ContentHash& content = end.request.content;
     std::erase_if(m_endedAt, [now](const auto& item) { return now - item.second > contradictedTo; });
@@ -254,14 +254,14 @@
 }
 
 ////////////////////////////////////////////////////////////
-void CrashLedger::served(const core::ContentHash& content)
+void CrashLedger::recordServed(const core::ContentHash& content)
 {
     m_evidence.erase(content);
     m_present.erase(content);
 }
 
 ////////////////////////////////////////////////////////////
-void CrashLedger::answers(std::uint32_t server, core::Timestamp now)
+void CrashLedger::recordContact(std::uint32_t server, core::Timestamp now)
 {
     if (m_endedAt.empty())
         return;
@@ -278,7 +278,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void CrashLedger::declare(std::span<const deployment::Quarantine> stored, core::Timestamp now)
+void CrashLedger::applyStored(std::span<const deployment::Quarantine> stored, core::Timestamp now)
 {
     const auto holds = [&](const core::ContentHash& content)
     {
@@ -308,7 +308,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t CrashLedger::suspicion(const core::ContentHash& content, core::Timestamp now) const
+std::size_t CrashLedger::countEnds(const core::ContentHash& content, core::Timestamp now) const
 {
     const auto found = m_evidence.find(content);
     if (found == m_evidence.end())
@@ -318,7 +318,8 @@
 }
 
 ////////////////////////////////////////////////////////////
-const deployment::Quarantine* CrashLedger::find(const deployment::RequestIdentity& request, core::Timestamp now) const
+const deployment::Quarantine* CrashLedger::findQuarantine(const deployment::RequestIdentity& request,
+                                                          core::Timestamp                    now) const
 {
     const auto found = m_quarantines.find(request.content);
     if (found == m_quarantines.end() || now >= found->second.until)
@@ -328,13 +329,13 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<deployment::Quarantine> CrashLedger::takeConcluded()
+std::vector<deployment::Quarantine> CrashLedger::takeChanged()
 {
     return std::exchange(m_concluded, {});
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<deployment::Quarantine> CrashLedger::list(core::Timestamp now) const
+std::vector<deployment::Quarantine> CrashLedger::listInForce(core::Timestamp now) const
 {
     std::vector<deployment::Quarantine> listed;
     for (const auto& [content, quarantine] : m_quarantines)
--- a/src/sailpath/balance/NoticeState.cpp
+++ b/src/sailpath/balance/NoticeState.cpp
@@ -12,7 +12,7 @@
 } // namespace
 
 ////////////////////////////////////////////////////////////
-ServerNotice NoticeState::hear(const ServerNotice& notice, double spread, core::Timestamp now)
+ServerNotice NoticeState::record(const ServerNotice& notice, double spread, core::Timestamp now)
 {
     ServerNotice news;
     if (notice.leaving && !m_leavingSince)
@@ -22,7 +22,7 @@
     }
     if (notice.backOff.count() > 0)
     {
-        news.backOff = backsOff(now) ? core::Duration{} : notice.backOff;
+        news.backOff = isBackingOff(now) ? core::Duration{} : notice.backOff;
         const auto length = core::fromMilliseconds(core::toMilliseconds(notice.backOff) * (1 + longestSpread * spread));
         m_backOffUntil = std::max<core::Timestamp>(m_backOffUntil, now + length);
         m_onTrial = true;
@@ -32,34 +32,34 @@
 }
 
 ////////////////////////////////////////////////////////////
-void NoticeState::sent(core::Timestamp now)
+void NoticeState::recordSent(core::Timestamp now)
 {
-    if (m_onTrial && !backsOff(now))
+    if (m_onTrial && !isBackingOff(now))
         m_trialAt = now;
 }
 
 ////////////////////////////////////////////////////////////
-void NoticeState::accepted(core::Timestamp sentAt)
+void NoticeState::recordAccepted(core::Timestamp sentAt)
 {
     // What it took before it asked for a back-off says nothing of the time after.
     m_onTrial = m_onTrial && sentAt < m_backOffUntil;
 }
 
 ////////////////////////////////////////////////////////////
-bool NoticeState::takesOneMore(core::Timestamp now) const
+bool NoticeState::mayReceiveRequest(core::Timestamp now) const
 {
     const bool trialIsOut = m_trialAt && now - *m_trialAt < trialWait;
-    return !backsOff(now) && (!m_onTrial || !trialIsOut);
+    return !isBackingOff(now) && (!m_onTrial || !trialIsOut);
 }
 
 ////////////////////////////////////////////////////////////
-bool NoticeState::leaving() const
+bool NoticeState::isLeaving() const
 {
     return m_leavingSince.has_value();
 }
 
 ////////////////////////////////////////////////////////////
-bool NoticeState::backsOff(core::Timestamp now) const
+bool NoticeState::isBackingOff(core::Timestamp now) const
 {
     return now < m_backOffUntil;
 }
@@ -79,13 +79,13 @@
 ////////////////////////////////////////////////////////////
 bool NoticeState::empty() const
 {
-    return !leaving() && m_backOffUntil == core::Timestamp{};
+    return !isLeaving() && m_backOffUntil == core::Timestamp{};
 }
 
 ////////////////////////////////////////////////////////////
-bool NoticeState::inForce(core::Timestamp now) const
+bool NoticeState::isInForce(core::Timestamp now) const
 {
-    return leaving() || backsOff(now);
+    return isLeaving() || isBackingOff(now);
 }
 
 } // namespace sailpath::balance
--- a/src/sailpath/balance/ServerView.cpp
+++ b/src/sailpath/balance/ServerView.cpp
@@ -92,7 +92,7 @@
 ////////////////////////////////////////////////////////////
 bool ServerView::toldLimit(double perSecond, core::Timestamp at, double doublings, core::Timestamp now)
 {
-    if (m_limit && m_limit->over(now))
+    if (m_limit && m_limit->hasEnded(now))
         m_limit.reset();
     if (!m_limit && perSecond == unlimited)
         return false;
@@ -100,18 +100,18 @@
     {
         m_limit.emplace(doublings, now);
         // The server counts what it had got just before with what follows; left out, it would get more than it bears.
-        const bool changed = m_limit->told(perSecond, at, now);
-        m_limit->sent(recent(now), now);
+        const bool changed = m_limit->recordLimit(perSecond, at, now);
+        m_limit->recordSent(recent(now), now);
         return changed;
     }
-    return m_limit->told(perSecond, at, now);
+    return m_limit->recordLimit(perSecond, at, now);
 }
 
 ////////////////////////////////////////////////////////////
 void ServerView::sentElsewhere(double requests, double doublings, core::Timestamp now)
 {
     if (m_limit)
-        m_limit->sentElsewhere(requests, doublings, now);
+        m_limit->recordSentElsewhere(requests, doublings, now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -123,19 +123,19 @@
 ////////////////////////////////////////////////////////////
 const SharedLimit* ServerView::limit(core::Timestamp now) const
 {
-    return m_limit && !m_limit->over(now) ? &*m_limit : nullptr;
+    return m_limit && !m_limit->hasEnded(now) ? &*m_limit : nullptr;
 }
 
 ////////////////////////////////////////////////////////////
 ServerNotice ServerView::noticed(const ServerNotice& notice, double spread, core::Timestamp now)
 {
-    return m_notices.hear(notice, spread, now);
+    return m_notices.record(notice, spread, now);
 }
 
 ////////////////////////////////////////////////////////////
 void ServerView::accepted(core::Timestamp sentAt)
 {
-    m_notices.accepted(sentAt);
+    m_notices.recordAccepted(sentAt);
 }
 
 ////////////////////////////////////////////////////////////
@@ -156,9 +156,9 @@
     ++m_inFlight;
     m_recent = recent(now) + 1;
     m_recentAt = now;
-    m_notices.sent(now);
+    m_notices.recordSent(now);
     if (m_limit)
-        m_limit->sent(1, now);
+        m_limit->recordSent(1, now);
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/balance/ServicePool.cpp
+++ b/src/sailpath/balance/ServicePool.cpp
@@ -218,8 +218,8 @@
     for (const auto& server : m_servers)
     {
         if (const SharedLimit* limit = server->limit(now))
-            all.push_back({server->instance(), limit->perSecond(now), limit->since(), limit->openness(now),
-                           limit->sentHere(), limit->sentByAll()});
+            all.push_back({server->instance(), limit->perSecond(now), limit->limitedSince(),
+                           limit->admissionProbability(now), limit->sentHere(), limit->sentByAll()});
     }
 }
 
@@ -242,8 +242,8 @@
     for (const auto& [id, server] : m_byId)
     {
         const NoticeState& notices = server->notices();
-        if (notices.inForce(now))
-            all.push_back({server->instance(), notices.leaving(), notices.leavingFor(now), notices.backOffLeft(now)});
+        if (notices.isInForce(now))
+            all.push_back({server->instance(), notices.isLeaving(), notices.leavingFor(now), notices.backOffLeft(now)});
     }
 }
 
@@ -276,7 +276,7 @@
     for (const auto& server : m_servers)
     {
         if (const SharedLimit* limit = server->limit(now))
-            most = std::max(most, limit->openness(now));
+            most = std::max(most, limit->admissionProbability(now));
     }
     return most;
 }
@@ -431,9 +431,9 @@
 ////////////////////////////////////////////////////////////
 Shortage ServicePool::shortageOf(const ServerView& server, core::Timestamp now)
 {
-    if (server.notices().leaving())
+    if (server.notices().isLeaving())
         return Shortage::Leaving;
-    if (!server.notices().takesOneMore(now))
+    if (!server.notices().mayReceiveRequest(now))
         return Shortage::BackOff;
     if (server.limit(now) != nullptr)
         return Shortage::Limited;
--- a/src/sailpath/balance/ServicePoolPlacement.cpp
+++ b/src/sailpath/balance/ServicePoolPlacement.cpp
@@ -159,9 +159,9 @@
 bool ServicePool::wantsRequests(const ServerView& server, bool leavers, core::Timestamp now) const
 {
     const NoticeState& notices = server.notices();
-    if (!notices.takesOneMore(now))
+    if (!notices.mayReceiveRequest(now))
         return false;
-    return !notices.leaving() || (leavers && notices.leavingFor(now) <= m_settings.leavingGrace);
+    return !notices.isLeaving() || (leavers && notices.leavingFor(now) <= m_settings.leavingGrace);
 }
 
 ////////////////////////////////////////////////////////////
@@ -178,7 +178,8 @@
 {
     // No node alone sends a limited server more than it takes; the sum of all would flood it.
     const SharedLimit* limit = m_mayBeLimited ? server.limit(now) : nullptr;
-    return limit == nullptr || limit->lets(chance(wish.draw, deployment::lifeHash(*server.instance())), wish.rank, now);
+    return limit == nullptr ||
+           limit->admits(chance(wish.draw, deployment::lifeHash(*server.instance())), wish.rank, now);
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/balance/SharedLimit.cpp
+++ b/src/sailpath/balance/SharedLimit.cpp
@@ -22,25 +22,25 @@
 {
     if (perSecond == unlimited)
         return {reopening, 1, headroom};
-    const double toDouble = fewestToDouble + secondsToDouble * perSecond;
-    return {std::max(leastRate, aimShare * perSecond), toDouble, headroom * toDouble};
+    const double requestsToDouble = fewestToDouble + secondsToDouble * perSecond;
+    return {std::max(leastRate, aimShare * perSecond), requestsToDouble, headroom * requestsToDouble};
 }
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-SharedLimit::SharedLimit(double doublings, core::Timestamp now) :
+SharedLimit::SharedLimit(double log2Probability, core::Timestamp now) :
 m_since(now),
-m_rate(doublings, boundOf(unlimited), now)
+m_rate(log2Probability, boundOf(unlimited), now)
 {
 }
 
 ////////////////////////////////////////////////////////////
-bool SharedLimit::told(double perSecond, core::Timestamp at, core::Timestamp now)
+bool SharedLimit::recordLimit(double perSecond, core::Timestamp at, core::Timestamp now)
 {
     if (at + overtaking < m_wordAt)
         return false;
-    m_rate.settle(boundOf(this->perSecond(now)), now);
+    m_rate.advance(boundOf(this->perSecond(now)), now);
     if (perSecond <= this->perSecond(now))
     {
         m_low = perSecond;
@@ -56,17 +56,17 @@
 }
 
 ////////////////////////////////////////////////////////////
-void SharedLimit::sent(double requests, core::Timestamp now)
+void SharedLimit::recordSent(double requests, core::Timestamp now)
 {
     m_sentHere += requests;
     count(requests, now);
 }
 
 ////////////////////////////////////////////////////////////
-void SharedLimit::sentElsewhere(double requests, double doublings, core::Timestamp now)
+void SharedLimit::recordSentElsewhere(double requests, double log2Probability, core::Timestamp now)
 {
     count(requests, now);
-    m_rate.agree(doublings, agreement, boundOf(perSecond(now)));
+    m_rate.moveTowards(log2Probability, agreement, boundOf(perSecond(now)));
 }
 
 ////////////////////////////////////////////////////////////
@@ -78,21 +78,21 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool SharedLimit::lets(double draw, unsigned rank, core::Timestamp now) const
+bool SharedLimit::admits(double draw, unsigned rank, core::Timestamp now) const
 {
-    return draw < std::exp2((1 + rank) * std::min(0.0, doublings(now)));
+    return draw < std::exp2((1 + rank) * std::min(0.0, log2Probability(now)));
 }
 
 ////////////////////////////////////////////////////////////
-bool SharedLimit::over(core::Timestamp now) const
+bool SharedLimit::hasEnded(core::Timestamp now) const
 {
-    return perSecond(now) == unlimited && doublings(now) >= 0;
+    return perSecond(now) == unlimited && log2Probability(now) >= 0;
 }
 
 ////////////////////////////////////////////////////////////
-double SharedLimit::openness(core::Timestamp now) const
+double SharedLimit::admissionProbability(core::Timestamp now) const
 {
-    return m_rate.openness(boundOf(perSecond(now)), now);
+    return m_rate.admissionProbability(boundOf(perSecond(now)), now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -102,19 +102,19 @@
 }
 
 ////////////////////////////////////////////////////////////
-double SharedLimit::doublings(core::Timestamp now) const
+double SharedLimit::log2Probability(core::Timestamp now) const
 {
-    return m_rate.doublings(boundOf(perSecond(now)), now);
+    return m_rate.log2Probability(boundOf(perSecond(now)), now);
 }
 
 ////////////////////////////////////////////////////////////
-core::Timestamp SharedLimit::wordAt() const
+core::Timestamp SharedLimit::lastLimitAt() const
 {
     return m_wordAt;
 }
 
 ////////////////////////////////////////////////////////////
-double SharedLimit::word() const
+double SharedLimit::lastLimit() const
 {
     return m_word;
 }
@@ -132,7 +132,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-core::Timestamp SharedLimit::since() const
+core::Timestamp SharedLimit::limitedSince() const
 {
     return m_since;
 }
--- a/src/sailpath/balance/SharedRate.cpp
+++ b/src/sailpath/balance/SharedRate.cpp
@@ -12,49 +12,49 @@
 ////////////////////////////////////////////////////////////
 double mostDoublings(const RateBound& bound)
 {
-    return bound.inHand / bound.toDouble;
+    return bound.maxSaved / bound.requestsToDouble;
 }
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-SharedRate::SharedRate(double doublings, const RateBound& bound, core::Timestamp now) :
-m_doublings(std::clamp(doublings, leastDoublings, mostDoublings(bound))),
+SharedRate::SharedRate(double log2Probability, const RateBound& bound, core::Timestamp now) :
+m_doublings(std::clamp(log2Probability, leastDoublings, mostDoublings(bound))),
 m_at(now)
 {
 }
 
 ////////////////////////////////////////////////////////////
-void SharedRate::settle(const RateBound& bound, core::Timestamp now)
+void SharedRate::advance(const RateBound& bound, core::Timestamp now)
 {
-    m_doublings = doublings(bound, now);
+    m_doublings = log2Probability(bound, now);
     m_at = std::max(m_at, now);
 }
 
 ////////////////////////////////////////////////////////////
 void SharedRate::spend(double requests, const RateBound& bound, core::Timestamp now)
 {
-    settle(bound, now);
-    m_doublings = std::max(leastDoublings, m_doublings - requests / bound.toDouble);
+    advance(bound, now);
+    m_doublings = std::max(leastDoublings, m_doublings - requests / bound.requestsToDouble);
 }
 
 ////////////////////////////////////////////////////////////
-void SharedRate::agree(double doublings, double weight, const RateBound& bound)
+void SharedRate::moveTowards(double log2Probability, double weight, const RateBound& bound)
 {
-    m_doublings += weight * (std::clamp(doublings, leastDoublings, mostDoublings(bound)) - m_doublings);
+    m_doublings += weight * (std::clamp(log2Probability, leastDoublings, mostDoublings(bound)) - m_doublings);
 }
 
 ////////////////////////////////////////////////////////////
-double SharedRate::doublings(const RateBound& bound, core::Timestamp now) const
+double SharedRate::log2Probability(const RateBound& bound, core::Timestamp now) const
 {
     const double seconds = core::toSeconds(std::max<core::Duration>(now - m_at, {}));
-    return std::min(mostDoublings(bound), m_doublings + bound.perSecond / bound.toDouble * seconds);
+    return std::min(mostDoublings(bound), m_doublings + bound.perSecond / bound.requestsToDouble * seconds);
 }
 
 ////////////////////////////////////////////////////////////
-double SharedRate::openness(const RateBound& bound, core::Timestamp now) const
+double SharedRate::admissionProbability(const RateBound& bound, core::Timestamp now) const
 {
-    return std::exp2(std::min(0.0, doublings(bound, now)));
+    return std::exp2(std::min(0.0, log2Probability(bound, now)));
 }
 
 } // namespace sailpath::balance
--- a/src/sailpath/balance/WorkspaceQuotas.cpp
+++ b/src/sailpath/balance/WorkspaceQuotas.cpp
@@ -10,7 +10,7 @@
 {
 namespace
 {
-constexpr double doublingShare = 1.0 / 8; // Of the tolerance that halves the openness
+constexpr double doublingShare = 1.0 / 8; // Of the tolerance that halves the admissionProbability
 constexpr double mostPress = 5;           // Times its quota that a workspace may begin to send at once
 constexpr double newsSeconds = 0.2;       // That news are on their way
 constexpr double leastInHand = 1.0 / 8;   // Of the tolerance that is saved up also without a burst
@@ -42,10 +42,11 @@
 {
     // When a workspace begins to press, this much goes before all nodes know; what is borne beyond the quota takes a part.
     const double tolerated = tolerance(workspace);
-    const double toDouble = doublingShare * tolerated;
-    const double unheard = newsSeconds * mostPress * workspace.requestsPerSecond + toDouble * std::log2(mostPress);
+    const double requestsToDouble = doublingShare * tolerated;
+    const double unheard =
+        newsSeconds * mostPress * workspace.requestsPerSecond + requestsToDouble * std::log2(mostPress);
     const double reserve = std::max(0.0, unheard - tolerated / 2);
-    return {aimShare * workspace.requestsPerSecond, toDouble,
+    return {aimShare * workspace.requestsPerSecond, requestsToDouble,
             std::max(leastInHand * tolerated, workspace.burst - reserve)};
 }
 
@@ -58,12 +59,12 @@
     const double inWindow = workspace.requestsPerSecond * core::toSeconds(m_borne.window) + workspace.burst;
     const double holders = std::max(1.0, std::min<double>(m_nodes, inWindow));
     const double few = untoldShare * tolerance(workspace) / (deviation * std::sqrt(holders));
-    return std::max(1.0, std::min(few, mostQuantum * boundOf(workspace).toDouble));
+    return std::max(1.0, std::min(few, mostQuantum * boundOf(workspace).requestsToDouble));
 }
 
 ////////////////////////////////////////////////////////////
-void WorkspaceQuotas::declare(std::span<const deployment::Workspace> workspaces, unsigned nodes, core::Random& random,
-                              core::Timestamp now)
+void WorkspaceQuotas::configure(std::span<const deployment::Workspace> workspaces, unsigned nodes, core::Random& random,
+                                core::Timestamp now)
 {
     m_nodes = std::max(1U, nodes);
     std::unordered_map<std::uint32_t, Quota> quotas;
@@ -80,8 +81,9 @@
         quota.untold = quota.quantum * random.unit();
         if (known != m_quotas.end())
         {
-            const double saved = known->second.rate.doublings(known->second.bound, now) * known->second.bound.toDouble;
-            quota.rate = SharedRate(saved / bound.toDouble, bound, now);
+            const double saved =
+                known->second.rate.log2Probability(known->second.bound, now) * known->second.bound.requestsToDouble;
+            quota.rate = SharedRate(saved / bound.requestsToDouble, bound, now);
             quota.untold = std::min(known->second.untold, quota.quantum);
             quota.sentHere = known->second.sentHere;
             quota.sentByAll = known->second.sentByAll;
@@ -92,7 +94,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void WorkspaceQuotas::heardFleet(core::Timestamp at)
+void WorkspaceQuotas::recordFleetContact(core::Timestamp at)
 {
     m_heardFleet = at;
 }
@@ -111,21 +113,21 @@
 }
 
 ////////////////////////////////////////////////////////////
-double WorkspaceQuotas::openness(std::string_view workspace, core::Timestamp now) const
+double WorkspaceQuotas::admissionProbability(std::string_view workspace, core::Timestamp now) const
 {
     const Quota* quota = find(workspace);
-    return quota == nullptr ? 1 : quota->rate.openness(quota->bound, now);
+    return quota == nullptr ? 1 : quota->rate.admissionProbability(quota->bound, now);
 }
 
 ////////////////////////////////////////////////////////////
-bool WorkspaceQuotas::lets(std::string_view workspace, core::Random& random, core::Timestamp now) const
+bool WorkspaceQuotas::admits(std::string_view workspace, core::Random& random, core::Timestamp now) const
 {
-    const double open = openness(workspace, now);
+    const double open = admissionProbability(workspace, now);
     return open >= 1 || random.unit() < open;
 }
 
 ////////////////////////////////////////////////////////////
-void WorkspaceQuotas::sent(std::string_view workspace, core::Timestamp now)
+void WorkspaceQuotas::recordSent(std::string_view workspace, core::Timestamp now)
 {
     const std::uint32_t hash = deployment::shortHash(workspace);
     const auto          found = m_quotas.find(hash);
@@ -140,17 +142,17 @@
         return;
     const double told = quota.quantum * std::floor(quota.untold / quota.quantum);
     quota.untold -= told;
-    const double doublings = quota.rate.doublings(quota.bound, now);
+    const double log2Probability = quota.rate.log2Probability(quota.bound, now);
     const auto   waiting =
         std::find_if(m_news.begin(), m_news.end(), [hash](const auto& news) { return news.server == hash; });
     if (waiting != m_news.end())
-        *waiting = {0, hash, quota.perSecond, {}, waiting->sent + told, doublings};
+        *waiting = {0, hash, quota.perSecond, {}, waiting->sent + told, log2Probability};
     else
-        m_news.push_back({0, hash, quota.perSecond, {}, told, doublings});
+        m_news.push_back({0, hash, quota.perSecond, {}, told, log2Probability});
 }
 
 ////////////////////////////////////////////////////////////
-bool WorkspaceQuotas::heard(const deployment::LimitNews& news, core::Timestamp now)
+bool WorkspaceQuotas::recordSentElsewhere(const deployment::LimitNews& news, core::Timestamp now)
 {
     const auto found = m_quotas.find(news.server);
     if (found == m_quotas.end())
@@ -159,8 +161,8 @@
     quota.rate.spend(news.sent, quota.bound, now);
     // A node that still has, or already has, another quota saves up otherwise.
     if (std::abs(news.perSecond - quota.perSecond) < 0.001 * quota.perSecond)
-        quota.rate.agree(news.doublings, std::min(mostAgreement, agreement * news.sent / quota.bound.toDouble),
-                         quota.bound);
+        quota.rate.moveTowards(
+            news.doublings, std::min(mostAgreement, agreement * news.sent / quota.bound.requestsToDouble), quota.bound);
     quota.sentByAll += news.sent;
     return true;
 }
@@ -173,7 +175,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool WorkspaceQuotas::any() const
+bool WorkspaceQuotas::hasQuotas() const
 {
     return !m_quotas.empty();
 }
@@ -181,19 +183,19 @@
 ////////////////////////////////////////////////////////////
 QuotaState WorkspaceQuotas::stateOf(const Quota& quota, core::Timestamp now)
 {
-    return {quota.workspace, quota.perSecond, quota.burst, quota.rate.openness(quota.bound, now),
+    return {quota.workspace, quota.perSecond, quota.burst, quota.rate.admissionProbability(quota.bound, now),
             quota.sentHere,  quota.sentByAll};
 }
 
 ////////////////////////////////////////////////////////////
-std::optional<QuotaState> WorkspaceQuotas::state(std::string_view workspace, core::Timestamp now) const
+std::optional<QuotaState> WorkspaceQuotas::findState(std::string_view workspace, core::Timestamp now) const
 {
     const Quota* quota = find(workspace);
     return quota == nullptr ? std::nullopt : std::optional(stateOf(*quota, now));
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<QuotaState> WorkspaceQuotas::list(core::Timestamp now) const
+std::vector<QuotaState> WorkspaceQuotas::listStates(core::Timestamp now) const
 {
     std::vector<QuotaState> states;
     for (const auto& [hash, quota] : m_quotas)
--- a/src/sailpath/gateway/Gateway.cpp
+++ b/src/sailpath/gateway/Gateway.cpp
@@ -185,7 +185,7 @@
 {
     std::string text;
     const auto  at = core::now();
-    for (const deployment::Quarantine& item : balancer.crashes().list(at))
+    for (const deployment::Quarantine& item : balancer.crashes().listInForce(at))
     {
         text.append("content=").append(item.content.text());
         text.append(" servers=").append(std::to_string(item.servers));
@@ -207,8 +207,8 @@
         text.append("instance=").append(item.instance->id);
         text.append(" service=").append(item.instance->service);
         text.append(" perSecond=").append(std::to_string(item.perSecond));
-        text.append(" sinceS=").append(std::to_string(core::toSeconds(at - item.since)));
-        text.append(" openness=").append(std::to_string(item.openness));
+        text.append(" sinceS=").append(std::to_string(core::toSeconds(at - item.limitedSince)));
+        text.append(" openness=").append(std::to_string(item.admissionProbability));
         text.append(" sentHere=").append(std::to_string(item.sentHere));
         text.append(" sentByAll=").append(std::to_string(item.sentByAll)).append("\n");
     }
@@ -239,7 +239,7 @@
         text.append("workspace=").append(item.workspace);
         text.append(" perSecond=").append(std::to_string(item.perSecond));
         text.append(" burst=").append(std::to_string(item.burst));
-        text.append(" openness=").append(std::to_string(item.openness));
+        text.append(" openness=").append(std::to_string(item.admissionProbability));
         text.append(" sentHere=").append(std::to_string(item.sentHere));
         text.append(" sentByAll=").append(std::to_string(item.sentByAll)).append("\n");
     }
@@ -263,7 +263,7 @@
     add("server_connections_opened_total", "counter", servers.opened());
     add("resting_callers_closed_total", "counter", counters.restingClosed);
     add("quarantined_requests_refused_total", "counter", counters.quarantined);
-    add("quarantines", "gauge", balancer.crashes().list(core::now()).size());
+    add("quarantines", "gauge", balancer.crashes().listInForce(core::now()).size());
     add("servers_limited", "gauge", balancer.limits(core::now()).size());
     const auto notices = balancer.notices(core::now());
     add("servers_leaving", "gauge",
--- a/src/sailpath/gateway/GatewayRequests.cpp
+++ b/src/sailpath/gateway/GatewayRequests.cpp
@@ -453,7 +453,7 @@
 {
     ++counters.quarantined;
     const auto  at = core::now();
-    const auto* quarantine = balancer.crashes().find(exchange.identity(), at);
+    const auto* quarantine = balancer.crashes().findQuarantine(exchange.identity(), at);
     if (quarantine == nullptr)
         return;
     exchange.trail += "content=" + quarantine->content.text() + "/servers=" + std::to_string(quarantine->servers) +
@@ -466,8 +466,8 @@
 {
     if (const auto quota = balancer.quota(exchange.workspace, core::now()))
         exchange.trail += "quota=" + std::to_string(quota->perSecond) + "+" + std::to_string(quota->burst) +
-                          "/open=" + std::to_string(quota->openness) + "/here=" + std::to_string(quota->sentHere) +
-                          "/all=" + std::to_string(quota->sentByAll);
+                          "/open=" + std::to_string(quota->admissionProbability) +
+                          "/here=" + std::to_string(quota->sentHere) + "/all=" + std::to_string(quota->sentByAll);
 }
 
 ////////////////////////////////////////////////////////////
--- a/test/balance/crashes/CrashLedger.test.cpp
+++ b/test/balance/crashes/CrashLedger.test.cpp
@@ -26,7 +26,7 @@
     /// \brief A server ends under a request that ran for 80 ms
     void end(std::uint32_t server, const RequestIdentity& request, std::uint32_t node = 0)
     {
-        ledger.ended({node, server, request, 80ms, 1ms}, now);
+        ledger.recordEnd({node, server, request, 80ms, 1ms}, now);
     }
 
     void endOneAfterTheOther(std::uint32_t first, std::uint32_t last, const RequestIdentity& request)
@@ -40,7 +40,7 @@
 
     [[nodiscard]] bool quarantined(const RequestIdentity& request) const
     {
-        return ledger.find(request, now) != nullptr;
+        return ledger.findQuarantine(request, now) != nullptr;
     }
 
     CrashLedger           ledger;
@@ -59,11 +59,11 @@
     BOOST_TEST(!quarantined(culprit));
     end(3, culprit);
     BOOST_TEST(quarantined(culprit));
-    const auto concluded = ledger.takeConcluded();
+    const auto concluded = ledger.takeChanged();
     BOOST_REQUIRE_EQUAL(concluded.size(), 1U);
     BOOST_TEST(concluded[0].source == "here");
     BOOST_TEST(concluded[0].servers == 3U);
-    BOOST_TEST(ledger.takeConcluded().empty());
+    BOOST_TEST(ledger.takeChanged().empty());
 }
 
 BOOST_AUTO_TEST_CASE(TheSameServerAndTheSameMomentCountOnce)
@@ -79,7 +79,7 @@
 {
     for (std::uint32_t server = 1; server < 30; ++server)
     {
-        ledger.ended({server % 5, server, requestOf("popular", server), 60ms, core::Duration(server * 2ms)}, now);
+        ledger.recordEnd({server % 5, server, requestOf("popular", server), 60ms, core::Duration(server * 2ms)}, now);
         now += 10ms;
     }
     BOOST_TEST(!quarantined(requestOf("popular", 3)));
@@ -88,10 +88,10 @@
 BOOST_AUTO_TEST_CASE(AnAnswerClearsIt)
 {
     endOneAfterTheOther(1, 2, culprit);
-    ledger.served(culprit.content);
+    ledger.recordServed(culprit.content);
     endOneAfterTheOther(3, 4, culprit);
     BOOST_TEST(!quarantined(culprit));
-    BOOST_TEST(ledger.suspicion(culprit.content, now) == 2U);
+    BOOST_TEST(ledger.countEnds(culprit.content, now) == 2U);
 }
 
 BOOST_AUTO_TEST_CASE(WhatEndedUnderAKnownCulpritCountsAgainstNoOther)
@@ -102,7 +102,7 @@
     end(3, other);
     end(4, other);
     BOOST_TEST(!quarantined(other));
-    BOOST_TEST(ledger.suspicion(other.content, now) == 1U);
+    BOOST_TEST(ledger.countEnds(other.content, now) == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(TwoAtTheSameServersAreToldApartByTheFourth)
@@ -125,11 +125,11 @@
     endOneAfterTheOther(1, 3, culprit);
     const RequestIdentity elsewhere{culprit.content, 9};
     BOOST_TEST(!quarantined(elsewhere));
-    (void)ledger.takeConcluded();
+    (void)ledger.takeChanged();
     end(4, elsewhere);
     BOOST_TEST(quarantined(elsewhere));
     BOOST_TEST(quarantined(requestOf("culprit", 77)));
-    BOOST_TEST(ledger.takeConcluded().size() == 1U);
+    BOOST_TEST(ledger.takeChanged().size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(AServerThatAnswersDidNotEnd)
@@ -139,7 +139,7 @@
     {
         end(server, other, 8);
         now += 200ms;
-        ledger.answers(server, now);
+        ledger.recordContact(server, now);
         now += 300ms;
     }
     BOOST_TEST(!quarantined(other));
@@ -151,11 +151,11 @@
     now += 10min;
     BOOST_TEST(!quarantined(culprit));
     endOneAfterTheOther(4, 6, culprit);
-    auto stored = ledger.takeConcluded().back();
+    auto stored = ledger.takeChanged().back();
     stored.stored = true;
-    ledger.declare(std::vector{stored}, now);
+    ledger.applyStored(std::vector{stored}, now);
     BOOST_TEST(quarantined(culprit));
-    ledger.declare({}, now);
+    ledger.applyStored({}, now);
     BOOST_TEST(!quarantined(culprit));
     BOOST_TEST(ledger.empty());
 }
@@ -167,11 +167,11 @@
         CrashLedger           fresh;
         const core::Timestamp begin{2h};
         for (std::uint32_t server = 1; server <= 3; ++server)
-            fresh.ended({0, server, culprit, 80ms, 1ms}, begin + server * 500ms);
-        const auto* known = fresh.find(culprit, begin + 2s + gap);
+            fresh.recordEnd({0, server, culprit, 80ms, 1ms}, begin + server * 500ms);
+        const auto* known = fresh.findQuarantine(culprit, begin + 2s + gap);
         BOOST_REQUIRE(known != nullptr);
         BOOST_TEST((known->until - (begin + 2s + gap) < 10min - gap));
-        BOOST_TEST(fresh.find(culprit, begin + 2s + 10min) == nullptr);
+        BOOST_TEST(fresh.findQuarantine(culprit, begin + 2s + 10min) == nullptr);
     }
 }
 
@@ -183,7 +183,7 @@
         end(static_cast<std::uint32_t>(100 + i), requestOf("new " + std::to_string(i), 66));
         now += 1ms;
     }
-    BOOST_TEST(ledger.suspicion(other.content, now) == 2U);
+    BOOST_TEST(ledger.countEnds(other.content, now) == 2U);
     end(3, other);
     BOOST_TEST(quarantined(other));
 }
--- a/test/balance/crashes/Innocent.test.cpp
+++ b/test/balance/crashes/Innocent.test.cpp
@@ -83,11 +83,11 @@
         {
             ServerEnd end = one.end;
             end.ago = one.heard - one.happened;
-            ledger.ended(end, one.heard);
+            ledger.recordEnd(end, one.heard);
         }
         const core::Timestamp last = news.back().heard;
-        innocent += ledger.find(requestOf("innocent", 7), last) != nullptr ? 1 : 0;
-        missed += ledger.find(requestOf("culprit", 101), last) == nullptr ? 1 : 0;
+        innocent += ledger.findQuarantine(requestOf("innocent", 7), last) != nullptr ? 1 : 0;
+        missed += ledger.findQuarantine(requestOf("culprit", 101), last) == nullptr ? 1 : 0;
     }
     BOOST_TEST(innocent == 0U);
     BOOST_TEST(missed == 0U);
@@ -100,24 +100,24 @@
     const auto      innocent = requestOf("innocent", 7);
     const auto      culprit = requestOf("culprit", 1);
     const auto      end = [&](std::uint32_t server, const RequestIdentity& request) {
-        ledger.ended({3, server, request, 50ms, {}}, now);
+        ledger.recordEnd({3, server, request, 50ms, {}}, now);
     };
     for (std::uint32_t server = 1; server <= 3; ++server)
     {
         end(server, innocent);
         now += 500ms;
     }
-    BOOST_TEST(ledger.find(innocent, now) != nullptr);
-    BOOST_TEST(ledger.takeConcluded().size() == 1U);
+    BOOST_TEST(ledger.findQuarantine(innocent, now) != nullptr);
+    BOOST_TEST(ledger.takeChanged().size() == 1U);
     // News of the culprit at the same servers come late; then it goes on by itself.
     for (std::uint32_t server = 1; server <= 6; ++server)
     {
         end(server, culprit);
         now += 500ms;
     }
-    BOOST_TEST(ledger.find(culprit, now) != nullptr);
-    BOOST_TEST(ledger.find(innocent, now) == nullptr);
-    const auto told = ledger.takeConcluded();
+    BOOST_TEST(ledger.findQuarantine(culprit, now) != nullptr);
+    BOOST_TEST(ledger.findQuarantine(innocent, now) == nullptr);
+    const auto told = ledger.takeChanged();
     BOOST_TEST(std::any_of(told.begin(), told.end(),
                            [&](const auto& item) { return item.content == innocent.content && item.until <= now; }));
     // Its copy in the store is believed no more, until it is gone there.
@@ -126,8 +126,8 @@
     stored.servers = 3;
     stored.until = now + 10min;
     stored.stored = true;
-    ledger.declare(std::vector<deployment::Quarantine>{stored}, now);
-    BOOST_TEST(ledger.find(innocent, now) == nullptr);
+    ledger.applyStored(std::vector<deployment::Quarantine>{stored}, now);
+    BOOST_TEST(ledger.findQuarantine(innocent, now) == nullptr);
 }
 
 BOOST_AUTO_TEST_CASE(AVerdictOfTheStoreThatRestsOnWhatWasNotSeenHereStays)
@@ -141,15 +141,15 @@
     stored.servers = 3;
     stored.until = now + 10min;
     stored.stored = true;
-    ledger.declare(std::vector<deployment::Quarantine>{stored}, now);
-    ledger.ended({3, 1, known, 50ms, {}}, now);
+    ledger.applyStored(std::vector<deployment::Quarantine>{stored}, now);
+    ledger.recordEnd({3, 1, known, 50ms, {}}, now);
     for (std::uint32_t server = 1; server <= 6; ++server)
     {
-        ledger.ended({3, server, culprit, 50ms, {}}, now);
+        ledger.recordEnd({3, server, culprit, 50ms, {}}, now);
         now += 500ms;
     }
-    BOOST_TEST(ledger.find(culprit, now) != nullptr);
-    BOOST_TEST(ledger.find(known, now) != nullptr);
+    BOOST_TEST(ledger.findQuarantine(culprit, now) != nullptr);
+    BOOST_TEST(ledger.findQuarantine(known, now) != nullptr);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/balance/limits/SharedLimit.test.cpp
+++ b/test/balance/limits/SharedLimit.test.cpp
@@ -15,7 +15,7 @@
 SharedLimit limitOf(double perSecond)
 {
     SharedLimit limit(0, start);
-    limit.told(perSecond, start, start);
+    limit.recordLimit(perSecond, start, start);
     return limit;
 }
 
@@ -26,14 +26,14 @@
 BOOST_AUTO_TEST_CASE(WhatIsSentClosesAndTimeOpens)
 {
     SharedLimit limit = limitOf(3.5);
-    BOOST_TEST(limit.openness(start) == 1.0);
-    limit.sent(2, start);
-    const double closed = limit.openness(start);
+    BOOST_TEST(limit.admissionProbability(start) == 1.0);
+    limit.recordSent(2, start);
+    const double closed = limit.admissionProbability(start);
     BOOST_TEST(closed < 0.3);
-    limit.sentElsewhere(2, limit.doublings(start), start);
-    BOOST_TEST(limit.openness(start) < 0.3 * closed);
-    BOOST_TEST(limit.openness(start + 500ms) > 2 * limit.openness(start));
-    BOOST_TEST(limit.openness(start + 20s) <= 1.0);
+    limit.recordSentElsewhere(2, limit.log2Probability(start), start);
+    BOOST_TEST(limit.admissionProbability(start) < 0.3 * closed);
+    BOOST_TEST(limit.admissionProbability(start + 500ms) > 2 * limit.admissionProbability(start));
+    BOOST_TEST(limit.admissionProbability(start + 20s) <= 1.0);
     BOOST_TEST(limit.sentHere() == 2.0);
     BOOST_TEST(limit.sentByAll() == 4.0);
 }
@@ -43,77 +43,77 @@
     for (const double perSecond : {0.2, 3.5, 50.0})
     {
         SharedLimit limit = limitOf(perSecond);
-        limit.sent(12 * (0.4 + 0.12 * perSecond), start);
-        BOOST_TEST(limit.openness(start) < 0.001);
-        BOOST_TEST(limit.openness(start + 60s) == 1.0);
-        BOOST_TEST(limit.lets(0.99, 0, start + 60s));
+        limit.recordSent(12 * (0.4 + 0.12 * perSecond), start);
+        BOOST_TEST(limit.admissionProbability(start) < 0.001);
+        BOOST_TEST(limit.admissionProbability(start + 60s) == 1.0);
+        BOOST_TEST(limit.admits(0.99, 0, start + 60s));
     }
 }
 
 BOOST_AUTO_TEST_CASE(HoweverLongNothingIsSentNoMoreThanARequestOrTwoIsInHand)
 {
     SharedLimit limit = limitOf(3.5);
-    limit.sent(2, start + 60s);
-    BOOST_TEST(limit.openness(start + 60s) < 0.5);
+    limit.recordSent(2, start + 60s);
+    BOOST_TEST(limit.admissionProbability(start + 60s) < 0.5);
 }
 
 BOOST_AUTO_TEST_CASE(TheUrgentAreLetInBeforeTheOthers)
 {
     SharedLimit limit = limitOf(3.5);
-    limit.sent(2, start);
-    const double draw = 0.9 * limit.openness(start);
-    BOOST_TEST(limit.lets(draw, 0, start));
-    BOOST_TEST(!limit.lets(draw, 1, start));
-    BOOST_TEST(limitOf(3.5).lets(0.99, 3, start)); // Nothing is short yet
+    limit.recordSent(2, start);
+    const double draw = 0.9 * limit.admissionProbability(start);
+    BOOST_TEST(limit.admits(draw, 0, start));
+    BOOST_TEST(!limit.admits(draw, 1, start));
+    BOOST_TEST(limitOf(3.5).admits(0.99, 3, start)); // Nothing is short yet
 }
 
 BOOST_AUTO_TEST_CASE(OfWordsWithinAMomentTheLowestHoldsWhateverTheirOrder)
 {
     SharedLimit limit = limitOf(3.5);
-    BOOST_TEST(limit.told(9, start + 10ms, start + 10ms));
+    BOOST_TEST(limit.recordLimit(9, start + 10ms, start + 10ms));
     BOOST_TEST(limit.perSecond(start + 10ms) == 3.5);
     BOOST_TEST(limit.perSecond(start + 300ms) == 9.0);
     // An older word that other nodes told late: it holds for a moment, not longer.
-    limit.told(2, start + 5ms, start + 400ms);
+    limit.recordLimit(2, start + 5ms, start + 400ms);
     BOOST_TEST(limit.perSecond(start + 400ms) == 2.0);
     BOOST_TEST(limit.perSecond(start + 700ms) == 9.0);
     // One that is far older says nothing any more.
-    limit.told(8, start + 1s, start + 1s);
-    limit.told(1, start + 5ms, start + 1s);
+    limit.recordLimit(8, start + 1s, start + 1s);
+    limit.recordLimit(1, start + 5ms, start + 1s);
     BOOST_TEST(limit.perSecond(start + 1s) == 8.0);
 }
 
 BOOST_AUTO_TEST_CASE(ItEndsByAWordAndOpensWithinASecond)
 {
     SharedLimit limit = limitOf(3.5);
-    limit.sent(20, start);
-    BOOST_TEST(limit.told(unlimited, start + 1s, start + 1s));
-    BOOST_TEST(!limit.over(start + 1s));
-    BOOST_TEST(limit.openness(start + 1100ms) < 0.5); // No herd
-    limit.told(unlimited, start + 1500ms, start + 1500ms);
-    limit.told(unlimited, start + 2s, start + 2s);
-    limit.told(unlimited, start + 2500ms, start + 2500ms);
-    BOOST_TEST(limit.over(start + 3s));
+    limit.recordSent(20, start);
+    BOOST_TEST(limit.recordLimit(unlimited, start + 1s, start + 1s));
+    BOOST_TEST(!limit.hasEnded(start + 1s));
+    BOOST_TEST(limit.admissionProbability(start + 1100ms) < 0.5); // No herd
+    limit.recordLimit(unlimited, start + 1500ms, start + 1500ms);
+    limit.recordLimit(unlimited, start + 2s, start + 2s);
+    limit.recordLimit(unlimited, start + 2500ms, start + 2500ms);
+    BOOST_TEST(limit.hasEnded(start + 3s));
 }
 
 BOOST_AUTO_TEST_CASE(EvenAServerThatTakesNothingIsTriedNowAndThen)
 {
     // Nobody would hear else that it takes requests again.
     SharedLimit limit = limitOf(0);
-    limit.sent(1, start);
-    BOOST_TEST(limit.openness(start) < 0.5);
+    limit.recordSent(1, start);
+    BOOST_TEST(limit.admissionProbability(start) < 0.5);
     for (auto now = start; now < start + 12s; now += 500ms)
-        limit.told(0, now, now);
-    BOOST_TEST(limit.openness(start + 12s) == 1.0);
+        limit.recordLimit(0, now, now);
+    BOOST_TEST(limit.admissionProbability(start + 12s) == 1.0);
 }
 
 BOOST_AUTO_TEST_CASE(OddWordsOfOtherNodesAreBounded)
 {
     SharedLimit limit = limitOf(3.5);
-    limit.sentElsewhere(1e9, -1e9, start);
+    limit.recordSentElsewhere(1e9, -1e9, start);
     for (auto now = start; now < start + 10s; now += 500ms)
-        limit.told(3.5, now, now);
-    BOOST_TEST(limit.openness(start + 10s) == 1.0);
+        limit.recordLimit(3.5, now, now);
+    BOOST_TEST(limit.admissionProbability(start + 10s) == 1.0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/support/QuotaFleet.hpp
+++ b/test/support/QuotaFleet.hpp
@@ -68,7 +68,7 @@
     void declare(WorkspaceQuotas& quotas)
     {
         const deployment::Workspace workspace{"north", {"k"}, {}, m_load.perSecond, m_load.burst};
-        quotas.declare(std::span(&workspace, 1), m_load.nodes, m_random, m_now);
+        quotas.configure(std::span(&workspace, 1), m_load.nodes, m_random, m_now);
     }
 
     void restart(unsigned node)
@@ -140,9 +140,9 @@
     {
         ++arrived;
         const auto node = static_cast<unsigned>(m_random.below(m_load.used));
-        if (!m_nodes[node]->lets("north", m_random, m_now))
+        if (!m_nodes[node]->admits("north", m_random, m_now))
             return;
-        m_nodes[node]->sent("north", m_now);
+        m_nodes[node]->recordSent("north", m_now);
         m_let.push_back(m_now);
     }
 
@@ -161,14 +161,14 @@
     void deliver()
     {
         for (unsigned i = m_cut; i < m_nodes.size(); ++i)
-            m_nodes[i]->heardFleet(m_now);
+            m_nodes[i]->recordFleetContact(m_now);
         for (; !m_way.empty() && m_way.front().at <= m_now; m_way.pop_front())
         {
             for (unsigned i = 0; i < m_nodes.size(); ++i)
             {
                 const bool reaches = i >= m_cut && m_way.front().from >= m_cut;
                 if (i != m_way.front().from && reaches)
-                    m_nodes[i]->heard(m_way.front().news, m_now);
+                    m_nodes[i]->recordSentElsewhere(m_way.front().news, m_now);
             }
         }
     }
