--- a/include/sailpath/balance/LimitState.hpp
+++ b/include/sailpath/balance/LimitState.hpp
@@ -8,20 +8,20 @@
 
 namespace sailpath::balance
 {
-//! Requests a second of an instance that names no limit
+//! Limit, in requests per second, of an instance that names none
 inline constexpr double unlimited = std::numeric_limits<double>::infinity();
 
 ////////////////////////////////////////////////////////////
-/// \brief What is believed of an instance that takes only so much, for operators
+/// \brief State of an instance with a rate limit, as shown to operators
 ////////////////////////////////////////////////////////////
 struct LimitState
 {
-    std::shared_ptr<const deployment::Instance> instance;                //!< Which
-    double                                      perSecond{unlimited};    //!< That it takes from all nodes together
-    core::Timestamp                             limitedSince{};          //!< It takes less than everything
-    double                                      admissionProbability{1}; //!< Chance that a request may be sent there
-    double                                      sentHere{0};             //!< Requests of this node since then
-    double                                      sentByAll{0};            //!< Requests of all nodes, as far as they told
+    std::shared_ptr<const deployment::Instance> instance;                //!< The limited instance
+    double                                      perSecond{unlimited};    //!< Limit for all nodes together, requests/s
+    core::Timestamp                             limitedSince{};          //!< When this node learned of a limit
+    double                                      admissionProbability{1}; //!< That a request may be sent there, 0 to 1
+    double                                      sentHere{0};  //!< Requests sent by this node since `limitedSince`
+    double                                      sentByAll{0}; //!< Requests sent by all nodes, as far as they reported
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/NoticeState.hpp
+++ b/include/sailpath/balance/NoticeState.hpp
@@ -7,45 +7,46 @@
 namespace sailpath::balance
 {
 ////////////////////////////////////////////////////////////
-/// \brief What one instance has said of the requests that it still wants from this node
+/// \brief The notices of one instance about the requests that it still accepts from this node
 ///
-/// Belongs to one life of the instance: a new life begins without.
+/// Belongs to one life of the instance: a new life starts with an empty state.
 ///
-/// After a back-off the instance gets one request at a time until it has taken one: that all nodes and callers come
-/// back in the same instant would overload it again. One that it does not turn away at once is followed by another.
+/// After a back-off the instance gets one trial request at a time until it has accepted one. If all nodes and callers
+/// came back in the same instant, they would overload it again. A trial that is not rejected at once is followed by
+/// another.
 ////////////////////////////////////////////////////////////
 class NoticeState
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Hear a notice
+    /// \brief Record a notice
     ///
     /// An instance that leaves does not come back in the same life. Of several
     /// back-offs the one that ends last holds.
     ///
-    /// \param spread By how much a back-off is made longer, 0 to 1: drawn, so that nodes that were told at the same
-    ///               time do not come back at the same time
+    /// \param spread Random number, 0 to 1, that lengthens a back-off: nodes that were told at the same time do not
+    ///               come back at the same time
     ///
-    /// \return What of it is new
+    /// \return The part of the notice that is new
     ////////////////////////////////////////////////////////////
     ServerNotice record(const ServerNotice& notice, double spread, core::Timestamp now);
 
-    void recordSent(core::Timestamp now);        //!< This node sent it a request
-    void recordAccepted(core::Timestamp sentAt); //!< It took a request that was sent then, and answered it
+    void recordSent(core::Timestamp now);        //!< Record that this node sent the instance a request
+    void recordAccepted(core::Timestamp sentAt); //!< Record that the instance ran a request that was sent at `sentAt`
 
-    [[nodiscard]] bool           mayReceiveRequest(core::Timestamp now) const; //!< As far as back-offs go
-    [[nodiscard]] bool           isLeaving() const;                            //!< It shuts down
-    [[nodiscard]] bool           isBackingOff(core::Timestamp now) const;      //!< It wants nothing now
-    [[nodiscard]] core::Duration leavingFor(core::Timestamp now) const;        //!< Since it said so; 0 when it did not
-    [[nodiscard]] core::Duration backOffLeft(core::Timestamp now) const;       //!< Until it wants requests again
-    [[nodiscard]] bool           empty() const;                                //!< Nothing was ever heard
-    [[nodiscard]] bool           isInForce(core::Timestamp now) const;         //!< Something of it still holds
+    [[nodiscard]] bool           mayReceiveRequest(core::Timestamp now) const; //!< No back-off or open trial forbids it
+    [[nodiscard]] bool           isLeaving() const;                            //!< The instance shuts down
+    [[nodiscard]] bool           isBackingOff(core::Timestamp now) const;      //!< It accepts no requests now
+    [[nodiscard]] core::Duration leavingFor(core::Timestamp now) const;  //!< Since it said it leaves; 0 if it did not
+    [[nodiscard]] core::Duration backOffLeft(core::Timestamp now) const; //!< Until it accepts requests again
+    [[nodiscard]] bool           empty() const;                          //!< No notice was ever recorded
+    [[nodiscard]] bool           isInForce(core::Timestamp now) const;   //!< The instance leaves or backs off
 
 private:
-    std::optional<core::Timestamp> m_leavingSince;   //!< When it was first heard that it shuts down
-    core::Timestamp                m_backOffUntil{}; //!< It wants nothing before
-    bool                           m_onTrial{false}; //!< It has not taken a request since its last back-off
-    std::optional<core::Timestamp> m_trialAt;        //!< It was sent one then
+    std::optional<core::Timestamp> m_leavingSince;   //!< When this node first heard that the instance shuts down
+    core::Timestamp                m_backOffUntil{}; //!< The instance accepts no requests before this time
+    bool                           m_onTrial{false}; //!< The instance has accepted no request since its last back-off
+    std::optional<core::Timestamp> m_trialAt;        //!< When the last trial request was sent
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/ServerNotice.hpp
+++ b/include/sailpath/balance/ServerNotice.hpp
@@ -9,12 +9,12 @@
 namespace sailpath::balance
 {
 ////////////////////////////////////////////////////////////
-/// \brief What an answer says of the requests that its server still wants
+/// \brief What an answer says about the requests that its server still accepts
 ////////////////////////////////////////////////////////////
 struct ServerNotice
 {
-    bool           leaving{false}; //!< It shuts down and wants no new requests
-    core::Duration backOff{};      //!< It wants nothing from this node for so long; 0: it does not say
+    bool           leaving{false}; //!< The server shuts down and accepts no new requests
+    core::Duration backOff{};      //!< How long this node is to send it no request; 0 if the answer does not say
 
     [[nodiscard]] bool empty() const
     {
@@ -23,39 +23,39 @@
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Which kind of answer a notice came on
+/// \brief The kind of answer that carried a notice
 ////////////////////////////////////////////////////////////
 enum class NoticeSource
 {
-    Answer,       //!< To a request of a caller, also one that nobody waits for any more
-    HealthAnswer, //!< To a probe
-    Misdirected   //!< Of another instance, which has the address now; concluded here
+    Answer,       //!< Answer to a caller's request, also when the caller no longer waits
+    HealthAnswer, //!< Answer to a probe
+    Misdirected   //!< Answer of another instance that has the address now; this node concludes the notice from it
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief The name of a source in logs
+/// \brief Return the name of a source in logs
 ////////////////////////////////////////////////////////////
 [[nodiscard]] std::string_view toString(NoticeSource source);
 
 ////////////////////////////////////////////////////////////
-/// \brief A notice that changed what is believed of an instance
+/// \brief A notice that changed this node's state of an instance
 ////////////////////////////////////////////////////////////
 struct NoticeChange
 {
-    std::shared_ptr<const deployment::Instance> instance;                     //!< Which
-    ServerNotice                                notice;                       //!< What is new of it
-    NoticeSource                                source{NoticeSource::Answer}; //!< Where it was heard
+    std::shared_ptr<const deployment::Instance> instance;                     //!< The instance that the notice is about
+    ServerNotice                                notice;                       //!< Only the part that is new
+    NoticeSource                                source{NoticeSource::Answer}; //!< Kind of answer that carried it
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief The notices of an instance that hold now
+/// \brief The notices of an instance that are in force now
 ////////////////////////////////////////////////////////////
 struct NoticeInForce
 {
-    std::shared_ptr<const deployment::Instance> instance;       //!< Which
-    bool                                        leaving{false}; //!< It shuts down
-    core::Duration                              leavingFor{};   //!< Since it said so
-    core::Duration                              backOffLeft{};  //!< Until it wants requests again
+    std::shared_ptr<const deployment::Instance> instance;       //!< The instance that gave the notices
+    bool                                        leaving{false}; //!< The instance shuts down
+    core::Duration                              leavingFor{};   //!< Time since this was first heard
+    core::Duration                              backOffLeft{};  //!< Time until the instance accepts requests again
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/SharedLimit.hpp
+++ b/include/sailpath/balance/SharedLimit.hpp
@@ -9,85 +9,87 @@
 namespace sailpath::balance
 {
 ////////////////////////////////////////////////////////////
-/// \brief One node's part in keeping what all nodes together send to an instance within what it takes
+/// \brief One node's part in keeping what all nodes together send to an instance within the instance's limit
 ///
-/// Load pattern: some servers of a service ask for a third of what they got,
-/// a few requests a second, while hundreds of nodes send to the service. No
-/// node alone sends more than that; the sum is the flood. Callers may come
-/// evenly or nearly all to one node, and nodes do not know who else is there.
+/// Load pattern: some servers of a service ask for a third of what they got, a
+/// few requests per second, while hundreds of nodes send to the service. No
+/// node alone exceeds the limit; the sum of all does. Callers may be spread
+/// evenly or nearly all use one node, and a node does not know which other
+/// nodes send to the instance.
 ///
 /// All nodes tell each other what they sent to the instance, and each holds the
-/// chance that a request may go there: see `SharedRate`.
+/// probability that a request may be sent there: see `SharedRate`.
 ///
-/// Limits: the more requests to a doubling, the less the sum is tossed about by
-/// news that are on their way (up to half a second), and the more is sent while
-/// demand rises; see the constants.
+/// Trade-off: the more requests it takes to double the probability, the less
+/// the sum oscillates by reports that are under way (up to half a second), and
+/// the more is sent beyond the limit while demand rises; see the constants.
 ////////////////////////////////////////////////////////////
 class SharedLimit
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Begin to limit
+    /// \brief Start to limit an instance
     ///
-    /// \param log2Probability Binary logarithm of the admissionProbability, as another node told; 0 where this node was told first
+    /// \param log2Probability Binary logarithm of the admission probability, as another node reported it; 0 where this
+    ///                        node is the first that the instance told
     ////////////////////////////////////////////////////////////
     SharedLimit(double log2Probability, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear what the instance takes
+    /// \brief Record a limit that the instance named
     ///
-    /// Answers overtake each other, more so those told by other nodes: of what
-    /// was said within a moment the lowest holds.
+    /// Answers overtake each other, those reported by other nodes all the more:
+    /// of the limits that arrive within a short time the lowest holds.
     ///
-    /// \param perSecond From all nodes together; `unlimited` for everything
-    /// \param at        When the instance said so
+    /// \param perSecond Requests per second from all nodes together; `unlimited` if the instance accepts everything
+    /// \param at        When the instance named it
     ///
-    /// \return Whether this changes what is believed
+    /// \return Whether the limit differs from the one named last
     ////////////////////////////////////////////////////////////
     bool recordLimit(double perSecond, core::Timestamp at, core::Timestamp now);
 
-    void recordSent(double requests, core::Timestamp now); //!< By this node
+    void recordSent(double requests, core::Timestamp now); //!< Record requests that this node sent
 
     ////////////////////////////////////////////////////////////
-    /// \brief Another node told what it sent, and how open the instance is to it
+    /// \brief Record requests that another node sent, and its admission probability
     ///
-    /// The nodes' figures draw near each other by it, so that each gets its
-    /// share of what the instance takes.
+    /// Moves this node's figure towards the other node's, so that each node gets
+    /// its share of the limit.
     ///
-    /// \param log2Probability Of the other node
+    /// \param log2Probability Binary logarithm of the other node's admission probability
     ////////////////////////////////////////////////////////////
     void recordSentElsewhere(double requests, double log2Probability, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Whether the instance may be sent a request
+    /// \brief Decide whether the instance may be sent a request
     ///
-    /// \param draw In [0, 1); the same for one request and instance, however often it is asked
-    /// \param rank How many kinds of request of the service are more urgent: the more, the sooner it stands back
+    /// \param draw Random number in [0, 1); the same whenever the same request and instance are asked about
+    /// \param rank Number of more urgent kinds of request of the service; with each the probability falls faster
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool admits(double draw, unsigned rank, core::Timestamp now) const;
 
-    [[nodiscard]] bool hasEnded(core::Timestamp now) const; //!< Nothing is limited any more
+    [[nodiscard]] bool hasEnded(core::Timestamp now) const; //!< The limit has no effect any more
     [[nodiscard]] double
-    log2Probability(core::Timestamp now) const; //!< Binary logarithm of the admissionProbability; over 0: some in hand
-    [[nodiscard]] double admissionProbability(core::Timestamp now) const; //!< Chance that a request may be sent, 0 to 1
-    [[nodiscard]] double perSecond(core::Timestamp now) const;            //!< What holds now
-    [[nodiscard]] double lastLimit() const;                               //!< What the instance said last
-    [[nodiscard]] core::Timestamp lastLimitAt() const;                    //!< When
-    [[nodiscard]] double          sentHere() const;                       //!< Requests of this node since it is limited
-    [[nodiscard]] double          sentByAll() const;    //!< Requests of all nodes, as far as they told
-    [[nodiscard]] core::Timestamp limitedSince() const; //!< It is limited
+    log2Probability(core::Timestamp now) const; //!< Of admission, binary logarithm; above 0: requests are saved up
+    [[nodiscard]] double          admissionProbability(core::Timestamp now) const; //!< That a request may go, 0 to 1
+    [[nodiscard]] double          perSecond(core::Timestamp now) const;            //!< Limit in force, requests/s
+    [[nodiscard]] double          lastLimit() const;    //!< Limit that the instance named last, requests/s
+    [[nodiscard]] core::Timestamp lastLimitAt() const;  //!< When the instance named its last limit
+    [[nodiscard]] double          sentHere() const;     //!< Requests sent by this node since `limitedSince`
+    [[nodiscard]] double          sentByAll() const;    //!< Requests sent by all nodes, as far as they reported
+    [[nodiscard]] core::Timestamp limitedSince() const; //!< When limiting began
 
 private:
     void count(double requests, core::Timestamp now);
 
-    core::Timestamp m_since;           //!< It is limited
-    double          m_word{unlimited}; //!< What the instance said last
-    core::Timestamp m_wordAt{};        //!< When
-    double          m_low{unlimited};  //!< Something lower that it said a moment ago
-    core::Timestamp m_lowUntil{};      //!< Which holds until then
-    SharedRate      m_rate;            //!< How open the instance is
-    double          m_sentHere{0};     //!< Requests
-    double          m_sentByAll{0};    //!< Requests
+    core::Timestamp m_limitedSince;         //!< When limiting began
+    double          m_lastLimit{unlimited}; //!< Limit that the instance named last, requests/s
+    core::Timestamp m_lastLimitAt{};        //!< When the instance named it
+    double          m_lowLimit{unlimited};  //!< Lower limit that arrived shortly before, requests/s
+    core::Timestamp m_lowLimitUntil{};      //!< Until when `m_lowLimit` holds
+    SharedRate      m_rate;                 //!< Admission probability
+    double          m_sentHere{0};          //!< Requests sent by this node
+    double          m_sentByAll{0};         //!< Requests sent by all nodes
 };
 
 } // namespace sailpath::balance
--- a/src/sailpath/balance/NoticeState.cpp
+++ b/src/sailpath/balance/NoticeState.cpp
@@ -6,8 +6,8 @@
 {
 namespace
 {
-constexpr double longestSpread = 0.25;                       // Part of a back-off that it is made longer by at the most
-constexpr auto   trialWait = std::chrono::milliseconds{250}; // A server turns away what it does not take well within it
+constexpr double maxSpread = 0.25;                           // Largest extension of a back-off, as a part of it
+constexpr auto   trialWait = std::chrono::milliseconds{250}; // A server rejects a request well within this time
 
 } // namespace
 
@@ -23,7 +23,7 @@
     if (notice.backOff.count() > 0)
     {
         news.backOff = isBackingOff(now) ? core::Duration{} : notice.backOff;
-        const auto length = core::fromMilliseconds(core::toMilliseconds(notice.backOff) * (1 + longestSpread * spread));
+        const auto length = core::fromMilliseconds(core::toMilliseconds(notice.backOff) * (1 + maxSpread * spread));
         m_backOffUntil = std::max<core::Timestamp>(m_backOffUntil, now + length);
         m_onTrial = true;
         m_trialAt.reset();
@@ -41,15 +41,15 @@
 ////////////////////////////////////////////////////////////
 void NoticeState::recordAccepted(core::Timestamp sentAt)
 {
-    // What it took before it asked for a back-off says nothing of the time after.
+    // A request that was accepted before the back-off tells nothing about the time after it.
     m_onTrial = m_onTrial && sentAt < m_backOffUntil;
 }
 
 ////////////////////////////////////////////////////////////
 bool NoticeState::mayReceiveRequest(core::Timestamp now) const
 {
-    const bool trialIsOut = m_trialAt && now - *m_trialAt < trialWait;
-    return !isBackingOff(now) && (!m_onTrial || !trialIsOut);
+    const bool trialIsOpen = m_trialAt && now - *m_trialAt < trialWait;
+    return !isBackingOff(now) && (!m_onTrial || !trialIsOpen);
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/balance/SharedLimit.cpp
+++ b/src/sailpath/balance/SharedLimit.cpp
@@ -7,30 +7,35 @@
 {
 namespace
 {
-constexpr double headroom = 1;         // Doublings over fully open, so that demand of nearly the limit is let in whole
-constexpr double fewestToDouble = 0.4; // Requests, for limits of less than one a second
-constexpr double secondsToDouble = 0.12; // Of what the instance takes: twice as long as news are on their way as a rule
-constexpr double aimShare = 0.985;       // Of what an instance takes: the sum is tossed by a request or two
-constexpr double leastRate =
-    0.2; // Requests a second that go even where none are taken: else nobody would hear of the end
-constexpr double agreement = 0.07; // Of the difference between two nodes' figures, by which one that hears comes nearer
-constexpr double reopening = 10;   // Doublings a second once it takes everything: without a herd, whole within a second
-constexpr auto   overtaking = std::chrono::milliseconds{250}; // By which news of an answer may come before others
+// A value above 0 lets in a demand of nearly the limit whole.
+constexpr double maxLog2Probability = 1;
+constexpr double minRequestsToDouble = 0.4; // For limits below one request per second
+// Seconds of the limit: twice the usual delay of reports between nodes.
+constexpr double secondsToDouble = 0.12;
+// Part of the limit to aim at: the sum varies by a request or two.
+constexpr double targetShare = 0.985;
+// Requests per second that are sent even under a limit of 0: otherwise no node would learn that the limit has ended.
+constexpr double minRate = 0.2;
+// Part of the difference between two nodes' figures by which the node that receives a report moves towards the other.
+constexpr double convergence = 0.07;
+// Doublings per second once the limit has ended: full load within a second, but not from all nodes at once.
+constexpr double recoveryRate = 10;
+constexpr auto   reorderingTime = std::chrono::milliseconds{250}; // By which reports of answers may overtake each other
 
 ////////////////////////////////////////////////////////////
 RateBound boundOf(double perSecond)
 {
     if (perSecond == unlimited)
-        return {reopening, 1, headroom};
-    const double requestsToDouble = fewestToDouble + secondsToDouble * perSecond;
-    return {std::max(leastRate, aimShare * perSecond), requestsToDouble, headroom * requestsToDouble};
+        return {recoveryRate, 1, maxLog2Probability};
+    const double requestsToDouble = minRequestsToDouble + secondsToDouble * perSecond;
+    return {std::max(minRate, targetShare * perSecond), requestsToDouble, maxLog2Probability * requestsToDouble};
 }
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
 SharedLimit::SharedLimit(double log2Probability, core::Timestamp now) :
-m_since(now),
+m_limitedSince(now),
 m_rate(log2Probability, boundOf(unlimited), now)
 {
 }
@@ -38,19 +43,19 @@
 ////////////////////////////////////////////////////////////
 bool SharedLimit::recordLimit(double perSecond, core::Timestamp at, core::Timestamp now)
 {
-    if (at + overtaking < m_wordAt)
+    if (at + reorderingTime < m_lastLimitAt)
         return false;
     m_rate.advance(boundOf(this->perSecond(now)), now);
     if (perSecond <= this->perSecond(now))
     {
-        m_low = perSecond;
-        m_lowUntil = now + overtaking;
+        m_lowLimit = perSecond;
+        m_lowLimitUntil = now + reorderingTime;
     }
-    const bool changed = perSecond != m_word;
-    if (at >= m_wordAt)
+    const bool changed = perSecond != m_lastLimit;
+    if (at >= m_lastLimitAt)
     {
-        m_word = perSecond;
-        m_wordAt = at;
+        m_lastLimit = perSecond;
+        m_lastLimitAt = at;
     }
     return changed;
 }
@@ -66,7 +71,7 @@
 void SharedLimit::recordSentElsewhere(double requests, double log2Probability, core::Timestamp now)
 {
     count(requests, now);
-    m_rate.moveTowards(log2Probability, agreement, boundOf(perSecond(now)));
+    m_rate.moveTowards(log2Probability, convergence, boundOf(perSecond(now)));
 }
 
 ////////////////////////////////////////////////////////////
@@ -98,7 +103,7 @@
 ////////////////////////////////////////////////////////////
 double SharedLimit::perSecond(core::Timestamp now) const
 {
-    return now < m_lowUntil ? std::min(m_low, m_word) : m_word;
+    return now < m_lowLimitUntil ? std::min(m_lowLimit, m_lastLimit) : m_lastLimit;
 }
 
 ////////////////////////////////////////////////////////////
@@ -110,13 +115,13 @@
 ////////////////////////////////////////////////////////////
 core::Timestamp SharedLimit::lastLimitAt() const
 {
-    return m_wordAt;
+    return m_lastLimitAt;
 }
 
 ////////////////////////////////////////////////////////////
 double SharedLimit::lastLimit() const
 {
-    return m_word;
+    return m_lastLimit;
 }
 
 ////////////////////////////////////////////////////////////
@@ -134,7 +139,7 @@
 ////////////////////////////////////////////////////////////
 core::Timestamp SharedLimit::limitedSince() const
 {
-    return m_since;
+    return m_limitedSince;
 }
 
 } // namespace sailpath::balance
--- a/src/sailpath/balance/SharedRate.cpp
+++ b/src/sailpath/balance/SharedRate.cpp
@@ -7,10 +7,10 @@
 {
 namespace
 {
-constexpr double leastDoublings = -16; // 1 in 65,000 requests: hundreds of times more demand than is allowed
+constexpr double minLog2Probability = -16; // 1 in 65,000 requests; covers demand of hundreds of times the bound
 
 ////////////////////////////////////////////////////////////
-double mostDoublings(const RateBound& bound)
+double maxLog2Probability(const RateBound& bound)
 {
     return bound.maxSaved / bound.requestsToDouble;
 }
@@ -19,7 +19,7 @@
 
 ////////////////////////////////////////////////////////////
 SharedRate::SharedRate(double log2Probability, const RateBound& bound, core::Timestamp now) :
-m_doublings(std::clamp(log2Probability, leastDoublings, mostDoublings(bound))),
+m_log2Probability(std::clamp(log2Probability, minLog2Probability, maxLog2Probability(bound))),
 m_at(now)
 {
 }
@@ -27,7 +27,7 @@
 ////////////////////////////////////////////////////////////
 void SharedRate::advance(const RateBound& bound, core::Timestamp now)
 {
-    m_doublings = log2Probability(bound, now);
+    m_log2Probability = log2Probability(bound, now);
     m_at = std::max(m_at, now);
 }
 
@@ -35,20 +35,21 @@
 void SharedRate::spend(double requests, const RateBound& bound, core::Timestamp now)
 {
     advance(bound, now);
-    m_doublings = std::max(leastDoublings, m_doublings - requests / bound.requestsToDouble);
+    m_log2Probability = std::max(minLog2Probability, m_log2Probability - requests / bound.requestsToDouble);
 }
 
 ////////////////////////////////////////////////////////////
 void SharedRate::moveTowards(double log2Probability, double weight, const RateBound& bound)
 {
-    m_doublings += weight * (std::clamp(log2Probability, leastDoublings, mostDoublings(bound)) - m_doublings);
+    m_log2Probability +=
+        weight * (std::clamp(log2Probability, minLog2Probability, maxLog2Probability(bound)) - m_log2Probability);
 }
 
 ////////////////////////////////////////////////////////////
 double SharedRate::log2Probability(const RateBound& bound, core::Timestamp now) const
 {
     const double seconds = core::toSeconds(std::max<core::Duration>(now - m_at, {}));
-    return std::min(mostDoublings(bound), m_doublings + bound.perSecond / bound.requestsToDouble * seconds);
+    return std::min(maxLog2Probability(bound), m_log2Probability + bound.perSecond / bound.requestsToDouble * seconds);
 }
 
 ////////////////////////////////////////////////////////////
