--- a/include/sailpath/balance/WorkspaceQuotas.hpp
+++ b/include/sailpath/balance/WorkspaceQuotas.hpp
@@ -17,33 +17,34 @@
 namespace sailpath::balance
 {
 ////////////////////////////////////////////////////////////
-/// \brief What is believed of one workspace's quota, for operators
+/// \brief State of one workspace's quota, as shown to operators
 ////////////////////////////////////////////////////////////
 struct QuotaState
 {
     std::string workspace;               //!< Name
-    double      perSecond{0};            //!< Requests from all nodes together
-    double      burst{0};                //!< And so many more
-    double      admissionProbability{1}; //!< Chance that a request is let in
-    double      sentHere{0};             //!< Requests of this node since it has the quota
-    double      sentByAll{0};            //!< Requests of all nodes, as far as they told
+    double      perSecond{0};            //!< Declared quota for all nodes together, requests/s
+    double      burst{0};                //!< Declared requests beyond the rate
+    double      admissionProbability{1}; //!< That a request is let in, 0 to 1
+    double      sentHere{0};             //!< Requests let in by this node since the workspace has a quota
+    double      sentByAll{0};            //!< Requests let in by all nodes, as far as they reported
 };
 
 ////////////////////////////////////////////////////////////
 /// \brief One node's part in keeping what workspaces send through all nodes within their quotas
 ///
-/// Load pattern: one of a hundred workspaces, at times a large one, sends many
-/// times its usual within a moment, through all nodes or a few; what it has
-/// saved up it may use at once. Each quota is a `SharedRate`.
+/// Load pattern: one of a hundred workspaces, at times a large one, suddenly
+/// sends many times its usual rate, through all nodes or a few. It may use at
+/// once what it has saved up. Each quota is a `SharedRate`.
 ///
-/// Requests are told in quanta, each node beginning at a random part of one, so
-/// that what is not told yet is nothing on average: a fleet that told each
-/// request would be busy with that.
+/// A node reports its requests in quanta and starts at a random point of the
+/// first one, so that the requests not yet reported cancel out on average.
+/// Reporting each request would keep the whole fleet busy with reports.
 ///
-/// A node that hears nobody takes it that all others let in as much as it does.
+/// A node that receives nothing from others assumes that each of them lets in as
+/// much as it does itself.
 ///
-/// Limits: quanta and doublings are parts of what the quota may be exceeded by,
-/// so a smaller tolerance costs more news.
+/// Trade-off: the sizes of quanta and of doublings are parts of the tolerated
+/// excess, so a smaller tolerance costs more reports.
 ////////////////////////////////////////////////////////////
 class WorkspaceQuotas
 {
@@ -51,60 +52,62 @@
     ////////////////////////////////////////////////////////////
     /// \brief Start without quotas
     ////////////////////////////////////////////////////////////
-    explicit WorkspaceQuotas(const QuotaTolerance& borne);
+    explicit WorkspaceQuotas(const QuotaTolerance& tolerance);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Put declared quotas in force; what was used under former ones counts on
+    /// \brief Put declared quotas in force
+    ///
+    /// What was used or saved up under a workspace's former quota still counts.
     ////////////////////////////////////////////////////////////
     void configure(std::span<const deployment::Workspace> workspaces, unsigned nodes, core::Random& random,
                    core::Timestamp now);
 
-    void recordFleetContact(core::Timestamp at); //!< Others could be heard then
+    void recordFleetContact(core::Timestamp at); //!< Record that reports of other nodes could arrive at this time
 
-    [[nodiscard]] bool   admits(std::string_view workspace, core::Random& random, core::Timestamp now) const;
-    [[nodiscard]] double admissionProbability(std::string_view workspace,
-                                              core::Timestamp  now) const;             //!< Chance of a request
-    void                 recordSent(std::string_view workspace, core::Timestamp now); //!< A request, by this node
+    [[nodiscard]] bool   admits(std::string_view workspace, core::Random& random,
+                                core::Timestamp now) const; //!< Draw whether to let a request in
+    [[nodiscard]] double admissionProbability(std::string_view workspace, core::Timestamp now) const; //!< 0 to 1
+    void recordSent(std::string_view workspace, core::Timestamp now); //!< Record a request that this node let in
 
     ////////////////////////////////////////////////////////////
-    /// \brief Another node told what it sent
+    /// \brief Record requests that another node let in
     ///
-    /// \return Whether it is about a workspace
+    /// \return Whether the report is about a workspace with a quota
     ////////////////////////////////////////////////////////////
     bool recordSentElsewhere(const deployment::LimitNews& news, core::Timestamp now);
 
-    void                                    takeNews(std::vector<deployment::LimitNews>& to); //!< Since the last call
-    [[nodiscard]] bool                      hasQuotas() const; //!< Some quota is in force
-    [[nodiscard]] std::vector<QuotaState>   listStates(core::Timestamp now) const;
+    void               takeNews(std::vector<deployment::LimitNews>& to); //!< Append the reports due since the last call
+    [[nodiscard]] bool hasQuotas() const;                                //!< Some quota is in force
+    [[nodiscard]] std::vector<QuotaState>   listStates(core::Timestamp now) const; //!< Of all quotas, by workspace name
     [[nodiscard]] std::optional<QuotaState> findState(std::string_view workspace,
-                                                      core::Timestamp  now) const; //!< Of one
+                                                      core::Timestamp  now) const; //!< Null without a quota
 
 private:
     struct Quota
     {
-        std::string workspace;    //!< Name
-        double      perSecond{0}; //!< As declared
-        double      burst{0};     //!< As declared
-        RateBound   bound;        //!< In force
-        SharedRate  rate;         //!< How open it is
-        double      quantum{1};   //!< Requests that are told at once
-        double      untold{0};    //!< Of this node
-        double      sentHere{0};  //!< By this node
-        double      sentByAll{0}; //!< By all nodes
+        std::string workspace;     //!< Name
+        double      perSecond{0};  //!< Declared rate, requests/s
+        double      burst{0};      //!< Declared requests beyond the rate
+        RateBound   bound;         //!< Bound derived from both
+        SharedRate  rate;          //!< Admission probability
+        double      quantum{1};    //!< Requests that are reported together
+        double      unreported{0}; //!< Requests let in by this node and not reported yet
+        double      sentHere{0};   //!< Requests let in by this node
+        double      sentByAll{0};  //!< Requests let in by all nodes
     };
 
-    [[nodiscard]] double            tolerance(const deployment::Workspace& workspace) const;
+    [[nodiscard]] double            toleratedExcess(const deployment::Workspace& workspace) const;
     [[nodiscard]] RateBound         boundOf(const deployment::Workspace& workspace) const;
     [[nodiscard]] double            quantumOf(const deployment::Workspace& workspace) const;
     [[nodiscard]] static QuotaState stateOf(const Quota& quota, core::Timestamp now);
     [[nodiscard]] const Quota*      find(std::string_view workspace) const;
-    [[nodiscard]] bool              alone(core::Timestamp now) const;
+    [[nodiscard]] bool              isIsolated(core::Timestamp now) const;
 
-    QuotaTolerance                           m_borne;      //!< How exactly they are kept
-    unsigned                                 m_nodes{1};   //!< That share the quotas
-    std::optional<core::Timestamp>           m_heardFleet; //!< Others could be heard then
-    std::unordered_map<std::uint32_t, Quota> m_quotas;     //!< By hash of the workspace's name
-    std::vector<deployment::LimitNews>       m_news;       //!< Not taken
+    QuotaTolerance                           m_tolerance;      //!< By how much quotas may be exceeded
+    unsigned                                 m_nodes{1};       //!< Nodes that share the quotas
+    std::optional<core::Timestamp>           m_fleetContactAt; //!< When reports of other nodes could last arrive
+    std::unordered_map<std::uint32_t, Quota> m_quotas;         //!< By `shortHash` of the workspace's name
+    std::vector<deployment::LimitNews>       m_news;           //!< Reports not taken yet
 };
 
 } // namespace sailpath::balance
--- a/src/sailpath/balance/WorkspaceQuotas.cpp
+++ b/src/sailpath/balance/WorkspaceQuotas.cpp
@@ -10,56 +10,59 @@
 {
 namespace
 {
-constexpr double doublingShare = 1.0 / 8; // Of the tolerance that halves the admissionProbability
-constexpr double mostPress = 5;           // Times its quota that a workspace may begin to send at once
-constexpr double newsSeconds = 0.2;       // That news are on their way
-constexpr double leastInHand = 1.0 / 8;   // Of the tolerance that is saved up also without a burst
-constexpr double mostQuantum = 0.25;      // Doublings that one node tells at once
-constexpr double untoldShare = 1.0 / 8;   // Of the tolerance that the fleet has not told, by its standard deviation
-constexpr double aimShare = 0.985;        // Of the quota: the sum is tossed by what is on its way
-constexpr double agreement = 0.1;         // Of the difference to a node's figure, for each halving that it told
-constexpr double mostAgreement = 0.07;    // Of that difference at once
-constexpr double leastTolerance = 1;      // Requests
-constexpr auto   aloneAfter = std::chrono::milliseconds{1200}; // Three updates that did not come
+// Shares and tolerances refer to the tolerated excess: the requests by which a quota may be exceeded in a window.
+constexpr double halvingShare = 1.0 / 8;    // Of the tolerance; requests that halve the admission probability
+constexpr double maxSurge = 5;              // Times its quota that a workspace may suddenly send
+constexpr double reportDelaySeconds = 0.2;  // Until a report has arrived at all nodes
+constexpr double minSavedShare = 1.0 / 8;   // Of the tolerance; can be saved up even without a burst
+constexpr double maxQuantum = 0.25;         // Doublings that one node reports at once
+constexpr double unreportedShare = 1.0 / 8; // Of the tolerance; standard deviation of what the fleet has not reported
+constexpr double targetShare = 0.985;       // Of the quota: the sum varies with the reports that are under way
+// Part of the difference to another node's figure by which to move towards it, for each halving that it reports.
+constexpr double convergence = 0.1;
+constexpr double maxConvergence = 0.07;                           // Largest part of that difference for one report
+constexpr double minTolerance = 1;                                // Requests
+constexpr auto   isolatedAfter = std::chrono::milliseconds{1200}; // Three missed updates
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-WorkspaceQuotas::WorkspaceQuotas(const QuotaTolerance& borne) :
-m_borne(borne)
+WorkspaceQuotas::WorkspaceQuotas(const QuotaTolerance& tolerance) :
+m_tolerance(tolerance)
 {
 }
 
 ////////////////////////////////////////////////////////////
-double WorkspaceQuotas::tolerance(const deployment::Workspace& workspace) const
+double WorkspaceQuotas::toleratedExcess(const deployment::Workspace& workspace) const
 {
-    const double inWindow = workspace.requestsPerSecond * core::toSeconds(m_borne.window) + workspace.burst;
-    return std::max(leastTolerance, m_borne.excess * inWindow + m_borne.slack);
+    const double inWindow = workspace.requestsPerSecond * core::toSeconds(m_tolerance.window) + workspace.burst;
+    return std::max(minTolerance, m_tolerance.excess * inWindow + m_tolerance.slack);
 }
 
 ////////////////////////////////////////////////////////////
 RateBound WorkspaceQuotas::boundOf(const deployment::Workspace& workspace) const
 {
-    // When a workspace begins to press, this much goes before all nodes know; what is borne beyond the quota takes a part.
-    const double tolerated = tolerance(workspace);
-    const double requestsToDouble = doublingShare * tolerated;
-    const double unheard =
-        newsSeconds * mostPress * workspace.requestsPerSecond + requestsToDouble * std::log2(mostPress);
-    const double reserve = std::max(0.0, unheard - tolerated / 2);
-    return {aimShare * workspace.requestsPerSecond, requestsToDouble,
-            std::max(leastInHand * tolerated, workspace.burst - reserve)};
+    // Requests that are let in before all nodes know that a workspace exceeds its quota. Half of the tolerance covers
+    // some of them; the rest is taken off the burst.
+    const double tolerance = toleratedExcess(workspace);
+    const double requestsToDouble = halvingShare * tolerance;
+    const double sentUnreported =
+        reportDelaySeconds * maxSurge * workspace.requestsPerSecond + requestsToDouble * std::log2(maxSurge);
+    const double reserve = std::max(0.0, sentUnreported - tolerance / 2);
+    return {targetShare * workspace.requestsPerSecond, requestsToDouble,
+            std::max(minSavedShare * tolerance, workspace.burst - reserve)};
 }
 
 ////////////////////////////////////////////////////////////
 double WorkspaceQuotas::quantumOf(const deployment::Workspace& workspace) const
 {
-    // What a node has not told is evenly spread over a quantum; of many nodes the parts nearly cancel out.
-    // No more nodes have such a part than requests come in a window.
+    // A node's unreported requests are uniformly distributed over a quantum; those of many nodes nearly cancel out.
+    // At most as many nodes have unreported requests as requests arrive in a window.
     const double deviation = 1 / std::sqrt(6.0);
-    const double inWindow = workspace.requestsPerSecond * core::toSeconds(m_borne.window) + workspace.burst;
-    const double holders = std::max(1.0, std::min<double>(m_nodes, inWindow));
-    const double few = untoldShare * tolerance(workspace) / (deviation * std::sqrt(holders));
-    return std::max(1.0, std::min(few, mostQuantum * boundOf(workspace).requestsToDouble));
+    const double inWindow = workspace.requestsPerSecond * core::toSeconds(m_tolerance.window) + workspace.burst;
+    const double reporters = std::max(1.0, std::min<double>(m_nodes, inWindow));
+    const double quantum = unreportedShare * toleratedExcess(workspace) / (deviation * std::sqrt(reporters));
+    return std::max(1.0, std::min(quantum, maxQuantum * boundOf(workspace).requestsToDouble));
 }
 
 ////////////////////////////////////////////////////////////
@@ -74,19 +77,19 @@
             continue;
         const std::uint32_t hash = deployment::shortHash(workspace.name);
         const RateBound     bound = boundOf(workspace);
-        const auto          known = m_quotas.find(hash);
-        // A life that begins has nothing saved up: the one before may have used it.
+        const auto          previous = m_quotas.find(hash);
+        // A node starts with nothing saved up: its previous life may have used it.
         Quota quota{workspace.name, workspace.requestsPerSecond, workspace.burst, bound, SharedRate(0, bound, now)};
         quota.quantum = quantumOf(workspace);
-        quota.untold = quota.quantum * random.unit();
-        if (known != m_quotas.end())
+        quota.unreported = quota.quantum * random.unit();
+        if (previous != m_quotas.end())
         {
-            const double saved =
-                known->second.rate.log2Probability(known->second.bound, now) * known->second.bound.requestsToDouble;
+            const double saved = previous->second.rate.log2Probability(previous->second.bound, now) *
+                                 previous->second.bound.requestsToDouble;
             quota.rate = SharedRate(saved / bound.requestsToDouble, bound, now);
-            quota.untold = std::min(known->second.untold, quota.quantum);
-            quota.sentHere = known->second.sentHere;
-            quota.sentByAll = known->second.sentByAll;
+            quota.unreported = std::min(previous->second.unreported, quota.quantum);
+            quota.sentHere = previous->second.sentHere;
+            quota.sentByAll = previous->second.sentByAll;
         }
         quotas.emplace(hash, std::move(quota));
     }
@@ -96,13 +99,13 @@
 ////////////////////////////////////////////////////////////
 void WorkspaceQuotas::recordFleetContact(core::Timestamp at)
 {
-    m_heardFleet = at;
+    m_fleetContactAt = at;
 }
 
 ////////////////////////////////////////////////////////////
-bool WorkspaceQuotas::alone(core::Timestamp now) const
+bool WorkspaceQuotas::isIsolated(core::Timestamp now) const
 {
-    return m_nodes > 1 && (!m_heardFleet || now - *m_heardFleet > aloneAfter);
+    return m_nodes > 1 && (!m_fleetContactAt || now - *m_fleetContactAt > isolatedAfter);
 }
 
 ////////////////////////////////////////////////////////////
@@ -122,8 +125,8 @@
 ////////////////////////////////////////////////////////////
 bool WorkspaceQuotas::admits(std::string_view workspace, core::Random& random, core::Timestamp now) const
 {
-    const double open = admissionProbability(workspace, now);
-    return open >= 1 || random.unit() < open;
+    const double probability = admissionProbability(workspace, now);
+    return probability >= 1 || random.unit() < probability;
 }
 
 ////////////////////////////////////////////////////////////
@@ -134,21 +137,21 @@
     if (found == m_quotas.end())
         return;
     Quota& quota = found->second;
-    quota.rate.spend(alone(now) ? m_nodes : 1, quota.bound, now);
+    quota.rate.spend(isIsolated(now) ? m_nodes : 1, quota.bound, now);
     quota.sentHere += 1;
     quota.sentByAll += 1;
-    quota.untold += 1;
-    if (quota.untold < quota.quantum)
+    quota.unreported += 1;
+    if (quota.unreported < quota.quantum)
         return;
-    const double told = quota.quantum * std::floor(quota.untold / quota.quantum);
-    quota.untold -= told;
+    const double reported = quota.quantum * std::floor(quota.unreported / quota.quantum);
+    quota.unreported -= reported;
     const double log2Probability = quota.rate.log2Probability(quota.bound, now);
     const auto   waiting =
         std::find_if(m_news.begin(), m_news.end(), [hash](const auto& news) { return news.server == hash; });
     if (waiting != m_news.end())
-        *waiting = {0, hash, quota.perSecond, {}, waiting->sent + told, log2Probability};
+        *waiting = {0, hash, quota.perSecond, {}, waiting->sent + reported, log2Probability};
     else
-        m_news.push_back({0, hash, quota.perSecond, {}, told, log2Probability});
+        m_news.push_back({0, hash, quota.perSecond, {}, reported, log2Probability});
 }
 
 ////////////////////////////////////////////////////////////
@@ -159,10 +162,11 @@
         return false;
     Quota& quota = found->second;
     quota.rate.spend(news.sent, quota.bound, now);
-    // A node that still has, or already has, another quota saves up otherwise.
+    // The figure of a node that still has, or already has, another quota is not comparable.
     if (std::abs(news.perSecond - quota.perSecond) < 0.001 * quota.perSecond)
-        quota.rate.moveTowards(
-            news.doublings, std::min(mostAgreement, agreement * news.sent / quota.bound.requestsToDouble), quota.bound);
+        quota.rate.moveTowards(news.doublings,
+                               std::min(maxConvergence, convergence * news.sent / quota.bound.requestsToDouble),
+                               quota.bound);
     quota.sentByAll += news.sent;
     return true;
 }
