--- a/include/sailpath/balance/CrashLedger.hpp
+++ b/include/sailpath/balance/CrashLedger.hpp
@@ -12,95 +12,103 @@
 namespace sailpath::balance
 {
 ////////////////////////////////////////////////////////////
-/// \brief Which requests end the servers that run them
+/// \brief Finds the requests that end the servers that run them, and holds their quarantines
 ///
 /// Load pattern: a request ends each server that begins to run it. It comes
-/// again every few seconds at any node, under a new id. Each end takes along
-/// all that runs there, so most requests that are seen at a server's end did
-/// nothing; and servers also end in numbers for other reasons.
+/// again every few seconds at any node, under a new id. Each end takes along all
+/// requests that run on the server, so most requests that are seen at a server's
+/// end did not cause it. Servers also end in large numbers for other reasons.
 ///
 /// All nodes tell each other which requests were at servers that ended. A
 /// request is quarantined when three servers ended under it one after the
-/// other, with no answer to it in between:
-/// - One after the other: what was sent before the end that was seen last
-///   counts no further. So servers that fall together count once, however many
-///   copies of a popular request they ran.
-/// - An answer below 500 clears its request: what was only beside it is
-///   answered by the next server as a rule.
-/// - What ended under a quarantined request counts against no other, also where
-///   the request was not counted itself (copies under way together), and takes
-///   back verdicts that rest on it.
-/// - A server that answers shortly after its end was told did not end.
+/// other, with no answer to the request in between:
+/// - One after the other: an end does not count if its request was sent before
+///   the last counted end was seen. So servers that end together count once,
+///   however many copies of a popular request they ran.
+/// - An answer below 500 clears its request: a request that was at the server by
+///   chance is usually answered by the next server.
+/// - A server that ended under a quarantined request counts against no other
+///   request, also where that end was not counted itself (copies under way
+///   together). Quarantines that rest on such ends are withdrawn.
+/// - A server that answers shortly after its end was reported did not end.
 ///
-/// Evidence is bounded, and a caller's newest takes the place of his own
-/// oldest first: who makes new requests all the time drives out nobody else's.
+/// The evidence is bounded. New evidence first replaces the oldest of the same
+/// caller, so a caller that sends new requests all the time evicts no evidence
+/// against requests of others.
 ////////////////////////////////////////////////////////////
 class CrashLedger
 {
 public:
-    void recordEnd(const deployment::ServerEnd& end, core::Timestamp now); //!< A server ended under a request
-    void recordServed(const core::ContentHash& content);           //!< A request was answered, not with a failure
-    void recordContact(std::uint32_t server, core::Timestamp now); //!< An instance said something
+    void recordEnd(const deployment::ServerEnd& end,
+                   core::Timestamp              now);                           //!< Record that a server ended under a request
+    void recordServed(const core::ContentHash& content);           //!< Clear a request that was answered below 500
+    void recordContact(std::uint32_t server, core::Timestamp now); //!< Record that an instance sent any answer
 
     ////////////////////////////////////////////////////////////
-    /// \brief Take over what the store holds; what it held before and holds no more is over
+    /// \brief Apply the quarantines in the store; one that was stored before and is missing now is lifted
     ////////////////////////////////////////////////////////////
     void applyStored(std::span<const deployment::Quarantine> stored, core::Timestamp now);
 
-    [[nodiscard]] bool        empty() const; //!< No request needs to be looked up
+    [[nodiscard]] bool        empty() const; //!< There is neither evidence nor a quarantine: no request needs a look-up
     [[nodiscard]] std::size_t countEnds(const core::ContentHash& content,
-                                        core::Timestamp          now) const; //!< Servers that ended under it
+                                        core::Timestamp          now) const; //!< Count the ends that are evidence now
 
     ////////////////////////////////////////////////////////////
-    /// \brief Why a request is sent to no server; null when it may be
+    /// \brief Return the quarantine that keeps a request from all servers; null if there is none
     ////////////////////////////////////////////////////////////
     [[nodiscard]] const deployment::Quarantine* findQuarantine(const deployment::RequestIdentity& request,
                                                                core::Timestamp                    now) const;
 
-    [[nodiscard]] std::vector<deployment::Quarantine> takeChanged(); //!< New or wider since; over: taken back
-    [[nodiscard]] std::vector<deployment::Quarantine> listInForce(core::Timestamp now) const; //!< In force
+    ////////////////////////////////////////////////////////////
+    /// \brief Return the quarantines that were added, widened or withdrawn since the last call
+    ///
+    /// A withdrawn one has ended by the time it is returned.
+    ////////////////////////////////////////////////////////////
+    [[nodiscard]] std::vector<deployment::Quarantine> takeChanged();
+    [[nodiscard]] std::vector<deployment::Quarantine> listInForce(core::Timestamp now) const;
 
 private:
-    /// \brief One end that counts against a request
-    struct Seen
+    /// \brief One server's end that counts against a request
+    struct EvidenceItem
     {
-        std::uint32_t   server{0}; //!< That ended
-        std::uint32_t   node{0};   //!< That told
-        std::uint32_t   caller{0}; //!< Who had sent the request
-        core::Timestamp at{};      //!< When this node knew
+        std::uint32_t   server{0}; //!< `lifeHash` of the server that ended
+        std::uint32_t   node{0};   //!< Node that reported the end; 0 is this node
+        std::uint32_t   caller{0}; //!< Caller that had sent the request
+        core::Timestamp endedAt{}; //!< On this node's clock
     };
 
-    using Evidence = std::vector<Seen>; //!< Against one request, in order
+    using Evidence = std::vector<EvidenceItem>; //!< Against one request, in the order of counting
 
     /// \brief Servers that ended while a request was there
     struct Presence
     {
         std::vector<std::uint32_t> servers;
-        core::Timestamp            last{}; //!< Of them
+        core::Timestamp            lastEndAt{}; //!< When this node last heard of an end
     };
 
-    [[nodiscard]] static bool follows(const Seen& last, const deployment::ServerEnd& end, core::Timestamp now);
-    [[nodiscard]] bool        explained(std::uint32_t server, const core::ContentHash& content) const;
-    [[nodiscard]] bool        shared(const core::ContentHash& content, const Evidence& evidence) const;
-    void                      conclude(const core::ContentHash& content, core::Timestamp now);
+    [[nodiscard]] static bool wasSentAfter(const EvidenceItem& last, const deployment::ServerEnd& end,
+                                           core::Timestamp now);
+    [[nodiscard]] bool        isExplained(std::uint32_t server, const core::ContentHash& content) const;
+    [[nodiscard]] bool        sharesServers(const core::ContentHash& content, const Evidence& evidence) const;
+    void                      beginQuarantine(const core::ContentHash& content, core::Timestamp now);
     void                      makeRoomForQuarantine(core::Timestamp now);
-    void                      notePresent(std::uint32_t server, const core::ContentHash& content, core::Timestamp now);
-    void                      explain(const core::ContentHash& culprit, core::Timestamp now);
-    [[nodiscard]] bool        restsOnOthers(const core::ContentHash& content, const Evidence& culprit) const;
-    void                      takeBack(const core::ContentHash& content, core::Timestamp now);
+    void               recordPresence(std::uint32_t server, const core::ContentHash& content, core::Timestamp now);
+    void               explainEnds(const core::ContentHash& culprit, core::Timestamp now);
+    [[nodiscard]] bool restsOnEndsOf(const core::ContentHash& content, const Evidence& culprit) const;
+    void               withdraw(const core::ContentHash& content, core::Timestamp now);
     template <typename Condition>
-    void dropWhere(Condition condition); //!< Quarantines for which it holds
+    void eraseQuarantinesIf(Condition condition);
     void widen(deployment::Quarantine& known, std::uint32_t caller);
-    void makeRoom(std::uint32_t caller, core::Timestamp now);
-    void forget(std::uint32_t server, const core::ContentHash* but);
+    void makeRoomForEvidence(std::uint32_t caller, core::Timestamp now);
+    void eraseEvidence(std::uint32_t server, const core::ContentHash* except);
 
-    std::map<core::ContentHash, Evidence>               m_evidence;    //!< Not concluded
-    std::map<core::ContentHash, deployment::Quarantine> m_quarantines; //!< In force or over
-    std::map<core::ContentHash, Evidence>               m_endedUnder;  //!< Of those in quarantine
+    std::map<core::ContentHash, Evidence>               m_evidence;    //!< Against requests that are not quarantined
+    std::map<core::ContentHash, deployment::Quarantine> m_quarantines; //!< In force or expired
+    std::map<core::ContentHash, Evidence>               m_explained;   //!< Ends that quarantined requests caused
     std::map<core::ContentHash, Presence>        m_present; //!< All servers at whose end a request was, counted or not
-    std::map<core::ContentHash, core::Timestamp> m_takenBack; //!< Verdicts, and until when the store's are not believed
-    std::map<std::uint32_t, core::Timestamp>     m_endedAt;   //!< Servers, as told of late
-    std::vector<deployment::Quarantine>          m_concluded; //!< Not taken yet
+    std::map<core::ContentHash, core::Timestamp> m_withdrawn;  //!< Until when the store's copies are ignored
+    std::map<std::uint32_t, core::Timestamp>     m_reportedAt; //!< When ends of servers were reported, for a second
+    std::vector<deployment::Quarantine>          m_changed;    //!< Not taken yet
 };
 
 } // namespace sailpath::balance
--- a/src/sailpath/balance/CrashLedger.cpp
+++ b/src/sailpath/balance/CrashLedger.cpp
@@ -8,87 +8,90 @@
 {
 namespace
 {
-// While one of ten servers ends each second, 1.5% of what is lost is lost twice by chance, at 150 ms a run (estimated);
-// hardly anything three times.
-constexpr std::size_t serversToConclude = 3;
-constexpr std::size_t serversWhenShared = 4; // While another request was at all of the same servers
-constexpr auto        evidenceLife = std::chrono::minutes{10};
-constexpr auto        quarantineTime = std::chrono::minutes{10};
-constexpr std::size_t mostRequests = 1024;    // With evidence: 100 KB
-constexpr std::size_t mostOfCaller = 16;      // Of these, from one caller
-constexpr std::size_t mostQuarantines = 1024; // Each stands for three servers that ended in the last ten minutes
-constexpr std::size_t mostPresent = 64;       // Servers of one request; more ends explain no more
-constexpr auto        newsSpread = std::chrono::milliseconds{100}; // By which news of the same moment come apart
-constexpr auto        clearlyAfter = std::chrono::milliseconds{300};
-constexpr auto        contradictedFrom = std::chrono::milliseconds{50}; // Answers that were on their way are no sign
-constexpr auto        contradictedTo = std::chrono::seconds{1};         // Later the server may have started again
+// While one of ten servers ends each second and a run takes 150 ms, an estimated 1.5% of the lost requests are lost twice
+// by chance, and hardly any three times.
+constexpr std::size_t serversToQuarantine = 3;
+constexpr std::size_t serversToQuarantineWhenShared = 4; // While another request was at all of the same servers
+constexpr auto        evidenceLifetime = std::chrono::minutes{10};
+constexpr auto        quarantineDuration = std::chrono::minutes{10};
+constexpr std::size_t maxRequests = 1024;        // Requests with evidence; 100 KB
+constexpr std::size_t maxRequestsPerCaller = 16; // Of `maxRequests`
+constexpr std::size_t maxQuarantines = 1024;     // Each stands for three servers that ended in the last ten minutes
+constexpr std::size_t maxPresentServers = 64;    // Per request; the request explains no ends beyond these
+constexpr auto        reportSpread = std::chrono::milliseconds{100}; // Difference in delay of reports of one moment
+// By how much a request of another caller must have been sent after the last end to count.
+constexpr auto        otherCallerMargin = std::chrono::milliseconds{300};
+// Answers that arrive earlier were under way when the server ended.
+constexpr auto        contradictionFrom = std::chrono::milliseconds{50};
+constexpr auto        contradictionUntil = std::chrono::seconds{1}; // Later the server may have started again
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-bool CrashLedger::follows(const Seen& last, const deployment::ServerEnd& end, core::Timestamp now)
+bool CrashLedger::wasSentAfter(const EvidenceItem& last, const deployment::ServerEnd& end, core::Timestamp now)
 {
     const core::Timestamp sentAt = now - end.ago - end.ran;
     if (end.request.caller != last.caller)
-        return sentAt >= last.at + clearlyAfter;
-    // A node knows the order of what it saw itself; what others tell comes with some delay.
+        return sentAt >= last.endedAt + otherCallerMargin;
+    // A node knows the order of the ends it saw itself; reports of other nodes arrive with a varying delay.
     const bool sameNode = end.node == last.node;
-    return sentAt + (sameNode ? core::Duration{} : core::Duration(newsSpread)) >= last.at;
+    return sentAt + (sameNode ? core::Duration{} : core::Duration(reportSpread)) >= last.endedAt;
 }
 
 ////////////////////////////////////////////////////////////
 void CrashLedger::recordEnd(const deployment::ServerEnd& end, core::Timestamp now)
 {
     const core::ContentHash& content = end.request.content;
-    std::erase_if(m_endedAt, [now](const auto& item) { return now - item.second > contradictedTo; });
-    m_endedAt.emplace(end.server, now);
-    notePresent(end.server, content, now);
-    if (explained(end.server, content))
+    std::erase_if(m_reportedAt, [now](const auto& item) { return now - item.second > contradictionUntil; });
+    m_reportedAt.emplace(end.server, now);
+    recordPresence(end.server, content, now);
+    if (isExplained(end.server, content))
         return;
     const auto known = m_quarantines.find(content);
     if (known != m_quarantines.end() && now < known->second.until)
     {
         widen(known->second, end.request.caller);
-        m_endedUnder[content].push_back({end.server, end.node, end.request.caller, now - end.ago});
-        explain(content, now);
+        m_explained[content].push_back({end.server, end.node, end.request.caller, now - end.ago});
+        explainEnds(content, now);
         return;
     }
     if (!m_evidence.contains(content))
-        makeRoom(end.request.caller, now);
+        makeRoomForEvidence(end.request.caller, now);
     Evidence& evidence = m_evidence[content];
-    std::erase_if(evidence, [now](const Seen& seen) { return now - seen.at > evidenceLife; });
-    const bool counted =
-        std::any_of(evidence.begin(), evidence.end(), [&](const Seen& seen) { return seen.server == end.server; });
-    if (counted || (!evidence.empty() && !follows(evidence.back(), end, now)))
+    std::erase_if(evidence, [now](const EvidenceItem& item) { return now - item.endedAt > evidenceLifetime; });
+    const bool counted = std::any_of(evidence.begin(), evidence.end(),
+                                     [&](const EvidenceItem& item) { return item.server == end.server; });
+    if (counted || (!evidence.empty() && !wasSentAfter(evidence.back(), end, now)))
         return;
     evidence.push_back({end.server, end.node, end.request.caller, now - end.ago});
-    const std::size_t needed = shared(content, evidence) ? serversWhenShared : serversToConclude;
+    const std::size_t needed = sharesServers(content, evidence) ? serversToQuarantineWhenShared : serversToQuarantine;
     if (evidence.size() >= needed)
-        conclude(content, now);
+        beginQuarantine(content, now);
 }
 
 ////////////////////////////////////////////////////////////
-bool CrashLedger::explained(std::uint32_t server, const core::ContentHash& content) const
+bool CrashLedger::isExplained(std::uint32_t server, const core::ContentHash& content) const
 {
-    return std::any_of(m_endedUnder.begin(), m_endedUnder.end(),
+    return std::any_of(m_explained.begin(), m_explained.end(),
                        [&](const auto& item)
                        {
                            return item.first != content &&
                                   std::any_of(item.second.begin(), item.second.end(),
-                                              [server](const Seen& seen) { return seen.server == server; });
+                                              [server](const EvidenceItem& own) { return own.server == server; });
                        });
 }
 
 ////////////////////////////////////////////////////////////
-bool CrashLedger::shared(const core::ContentHash& content, const Evidence& evidence) const
+bool CrashLedger::sharesServers(const core::ContentHash& content, const Evidence& evidence) const
 {
-    // What else was at the server that ended last may not have been told yet.
+    // The last server is left out: reports of other requests that were there may not have arrived yet.
     const auto wasAtAll = [&](const Evidence& other)
     {
         return std::all_of(evidence.begin(), std::prev(evidence.end()),
-                           [&](const Seen& seen) {
+                           [&](const EvidenceItem& item)
+                           {
                                return std::any_of(other.begin(), other.end(),
-                                                  [&](const Seen& own) { return own.server == seen.server; });
+                                                  [&](const EvidenceItem& own) { return own.server == item.server; });
                            });
     };
     return std::any_of(m_evidence.begin(), m_evidence.end(),
@@ -96,115 +99,119 @@
 }
 
 ////////////////////////////////////////////////////////////
-void CrashLedger::conclude(const core::ContentHash& content, core::Timestamp now)
+void CrashLedger::beginQuarantine(const core::ContentHash& content, core::Timestamp now)
 {
     const Evidence ends = std::move(m_evidence.at(content));
     m_evidence.erase(content);
     const std::uint32_t caller = ends.front().caller;
     const bool          oneCaller =
-        std::all_of(ends.begin(), ends.end(), [caller](const Seen& seen) { return seen.caller == caller; });
+        std::all_of(ends.begin(), ends.end(), [caller](const EvidenceItem& item) { return item.caller == caller; });
     deployment::Quarantine quarantine;
     quarantine.content = content;
     quarantine.servers = ends.size();
     quarantine.since = now;
-    quarantine.until = now + quarantineTime;
+    quarantine.until = now + quarantineDuration;
     quarantine.source = ends.back().node == 0 ? "here" : "peers";
     if (oneCaller)
         quarantine.caller = caller;
     makeRoomForQuarantine(now);
-    m_takenBack.erase(content);
+    m_withdrawn.erase(content);
     m_quarantines[content] = quarantine;
-    m_endedUnder[content] = ends;
-    m_concluded.push_back(quarantine);
-    explain(content, now);
+    m_explained[content] = ends;
+    m_changed.push_back(quarantine);
+    explainEnds(content, now);
 }
 
 ////////////////////////////////////////////////////////////
-void CrashLedger::notePresent(std::uint32_t server, const core::ContentHash& content, core::Timestamp now)
+void CrashLedger::recordPresence(std::uint32_t server, const core::ContentHash& content, core::Timestamp now)
 {
-    if (m_present.size() >= mostRequests && !m_present.contains(content))
+    if (m_present.size() >= maxRequests && !m_present.contains(content))
         m_present.erase(std::min_element(m_present.begin(), m_present.end(),
                                          [](const auto& left, const auto& right)
-                                         { return left.second.last < right.second.last; }));
+                                         { return left.second.lastEndAt < right.second.lastEndAt; }));
     Presence& present = m_present[content];
-    present.last = now;
+    present.lastEndAt = now;
     const bool known = std::find(present.servers.begin(), present.servers.end(), server) != present.servers.end();
-    if (!known && present.servers.size() < mostPresent)
+    if (!known && present.servers.size() < maxPresentServers)
         present.servers.push_back(server);
 }
 
 ////////////////////////////////////////////////////////////
-void CrashLedger::explain(const core::ContentHash& culprit, core::Timestamp now)
+void CrashLedger::explainEnds(const core::ContentHash& culprit, core::Timestamp now)
 {
-    // Of copies that were under way together one end is counted, but all their servers ended by them: without this 40 of
-    // 500 requests that were at three of such servers were quarantined too (drawn orders of news).
-    Evidence& under = m_endedUnder[culprit];
+    // Of copies that were under way together only one end counts as evidence, but all their servers ended by them.
+    // Without this, in 40 of 500 random orders of reports another request that was at three such servers was
+    // quarantined too.
+    Evidence& ends = m_explained[culprit];
     for (const std::uint32_t server : m_present[culprit].servers)
     {
         const bool listed =
-            std::any_of(under.begin(), under.end(), [&](const Seen& seen) { return seen.server == server; });
+            std::any_of(ends.begin(), ends.end(), [&](const EvidenceItem& item) { return item.server == server; });
         if (!listed)
-            under.push_back({server, 0, 0, now});
+            ends.push_back({server, 0, 0, now});
     }
-    for (const Seen& seen : under)
-        forget(seen.server, &culprit);
-    std::vector<core::ContentHash> wrong;
+    for (const EvidenceItem& item : ends)
+        eraseEvidence(item.server, &culprit);
+    std::vector<core::ContentHash> withdrawn;
     for (const auto& [content, quarantine] : m_quarantines)
     {
-        if (content != culprit && restsOnOthers(content, under))
-            wrong.push_back(content);
+        if (content != culprit && restsOnEndsOf(content, ends))
+            withdrawn.push_back(content);
     }
-    for (const core::ContentHash& content : wrong)
-        takeBack(content, now);
+    for (const core::ContentHash& content : withdrawn)
+        withdraw(content, now);
 }
 
 ////////////////////////////////////////////////////////////
-bool CrashLedger::restsOnOthers(const core::ContentHash& content, const Evidence& culprit) const
+bool CrashLedger::restsOnEndsOf(const core::ContentHash& content, const Evidence& culprit) const
 {
     const auto present = m_present.find(content);
-    // What it rests on was not seen here: those who saw it take it back, in the store too.
-    if (present == m_present.end() || present->second.servers.size() < serversToConclude)
+    // This node did not see the ends that the quarantine rests on. The nodes that saw them withdraw it, also from the
+    // store.
+    if (present == m_present.end() || present->second.servers.size() < serversToQuarantine)
         return false;
     const auto& servers = present->second.servers;
-    const auto  left = std::count_if(servers.begin(), servers.end(),
-                                     [&](std::uint32_t server) {
-                                        return std::none_of(culprit.begin(), culprit.end(),
-                                                             [server](const Seen& own) { return own.server == server; });
-                                    });
-    // Of two that were at the same servers the one is right under which more ended.
-    return static_cast<std::size_t>(left) < serversToConclude && servers.size() < culprit.size();
+    const auto  unexplained =
+        std::count_if(servers.begin(), servers.end(),
+                      [&](std::uint32_t server)
+                      {
+                          return std::none_of(culprit.begin(), culprit.end(),
+                                              [server](const EvidenceItem& own) { return own.server == server; });
+                      });
+    // Of two requests that were at the same servers, the one under which more servers ended is the culprit.
+    return static_cast<std::size_t>(unexplained) < serversToQuarantine && servers.size() < culprit.size();
 }
 
 ////////////////////////////////////////////////////////////
-void CrashLedger::takeBack(const core::ContentHash& content, core::Timestamp now)
+void CrashLedger::withdraw(const core::ContentHash& content, core::Timestamp now)
 {
-    deployment::Quarantine wrong = m_quarantines.at(content);
+    deployment::Quarantine withdrawn = m_quarantines.at(content);
     m_quarantines.erase(content);
-    m_endedUnder.erase(content);
-    m_takenBack[content] = now + evidenceLife;
-    wrong.until = now;
-    m_concluded.push_back(std::move(wrong));
+    m_explained.erase(content);
+    m_withdrawn[content] = now + evidenceLifetime;
+    withdrawn.until = now;
+    m_changed.push_back(std::move(withdrawn));
 }
 
 ////////////////////////////////////////////////////////////
 void CrashLedger::makeRoomForQuarantine(core::Timestamp now)
 {
-    dropWhere([now](const deployment::Quarantine& item) { return now >= item.until; });
-    if (m_quarantines.size() < mostQuarantines)
+    eraseQuarantinesIf([now](const deployment::Quarantine& item) { return now >= item.until; });
+    if (m_quarantines.size() < maxQuarantines)
         return;
     const auto first =
         std::min_element(m_quarantines.begin(), m_quarantines.end(),
                          [](const auto& left, const auto& right) { return left.second.until < right.second.until; });
-    m_endedUnder.erase(first->first);
+    m_explained.erase(first->first);
     m_quarantines.erase(first);
 }
 
 ////////////////////////////////////////////////////////////
 template <typename Condition>
-void CrashLedger::dropWhere(Condition condition)
+void CrashLedger::eraseQuarantinesIf(Condition condition)
 {
     std::erase_if(m_quarantines, [&](const auto& item) { return condition(item.second); });
-    std::erase_if(m_endedUnder, [this](const auto& item) { return !m_quarantines.contains(item.first); });
+    std::erase_if(m_explained, [this](const auto& item) { return !m_quarantines.contains(item.first); });
 }
 
 ////////////////////////////////////////////////////////////
@@ -215,41 +222,41 @@
         return;
     known.caller.reset();
     known.stored = false;
-    m_concluded.push_back(known);
+    m_changed.push_back(known);
 }
 
 ////////////////////////////////////////////////////////////
-void CrashLedger::forget(std::uint32_t server, const core::ContentHash* but)
+void CrashLedger::eraseEvidence(std::uint32_t server, const core::ContentHash* except)
 {
     for (auto& [content, evidence] : m_evidence)
     {
-        if (but == nullptr || content != *but)
-            std::erase_if(evidence, [server](const Seen& seen) { return seen.server == server; });
+        if (except == nullptr || content != *except)
+            std::erase_if(evidence, [server](const EvidenceItem& item) { return item.server == server; });
     }
     std::erase_if(m_evidence, [](const auto& item) { return item.second.empty(); });
 }
 
 ////////////////////////////////////////////////////////////
-void CrashLedger::makeRoom(std::uint32_t caller, core::Timestamp now)
+void CrashLedger::makeRoomForEvidence(std::uint32_t caller, core::Timestamp now)
 {
-    std::erase_if(m_evidence, [now](const auto& item) { return now - item.second.back().at > evidenceLife; });
+    std::erase_if(m_evidence, [now](const auto& item) { return now - item.second.back().endedAt > evidenceLifetime; });
     std::size_t ofCaller = 0;
     auto        oldestOfCaller = m_evidence.end();
     auto        oldest = m_evidence.end();
     for (auto at = m_evidence.begin(); at != m_evidence.end(); ++at)
     {
-        const Seen& last = at->second.back();
-        if (oldest == m_evidence.end() || last.at < oldest->second.back().at)
+        const EvidenceItem& last = at->second.back();
+        if (oldest == m_evidence.end() || last.endedAt < oldest->second.back().endedAt)
             oldest = at;
         if (last.caller != caller)
             continue;
         ++ofCaller;
-        if (oldestOfCaller == m_evidence.end() || last.at < oldestOfCaller->second.back().at)
+        if (oldestOfCaller == m_evidence.end() || last.endedAt < oldestOfCaller->second.back().endedAt)
             oldestOfCaller = at;
     }
-    if (ofCaller >= mostOfCaller)
+    if (ofCaller >= maxRequestsPerCaller)
         m_evidence.erase(oldestOfCaller);
-    else if (m_evidence.size() >= mostRequests)
+    else if (m_evidence.size() >= maxRequests)
         m_evidence.erase(oldest);
 }
 
@@ -263,18 +270,18 @@
 ////////////////////////////////////////////////////////////
 void CrashLedger::recordContact(std::uint32_t server, core::Timestamp now)
 {
-    if (m_endedAt.empty())
+    if (m_reportedAt.empty())
         return;
-    const auto told = m_endedAt.find(server);
-    if (told == m_endedAt.end() || now - told->second < contradictedFrom)
+    const auto reported = m_reportedAt.find(server);
+    if (reported == m_reportedAt.end() || now - reported->second < contradictionFrom)
         return;
-    if (now - told->second <= contradictedTo)
+    if (now - reported->second <= contradictionUntil)
     {
-        forget(server, nullptr);
+        eraseEvidence(server, nullptr);
         for (auto& [content, present] : m_present)
             std::erase(present.servers, server);
     }
-    m_endedAt.erase(told);
+    m_reportedAt.erase(reported);
 }
 
 ////////////////////////////////////////////////////////////
@@ -285,17 +292,17 @@
         return std::any_of(stored.begin(), stored.end(),
                            [&](const deployment::Quarantine& item) { return item.content == content; });
     };
-    dropWhere([&](const deployment::Quarantine& item)
-              { return now >= item.until || (item.stored && !holds(item.content)); });
-    std::erase_if(m_takenBack, [now](const auto& item) { return now >= item.second; });
+    eraseQuarantinesIf([&](const deployment::Quarantine& item)
+                       { return now >= item.until || (item.stored && !holds(item.content)); });
+    std::erase_if(m_withdrawn, [now](const auto& item) { return now >= item.second; });
     for (const deployment::Quarantine& item : stored)
     {
-        if (m_takenBack.contains(item.content))
+        if (m_withdrawn.contains(item.content))
             continue;
         deployment::Quarantine& known = m_quarantines[item.content];
         const bool              wider = known.servers > 0 && !known.caller && item.caller;
         if (wider)
-            continue; // What was seen here goes further than what stands in the store.
+            continue; // The local quarantine holds for all callers, the stored one for a single caller.
         known = item;
         m_evidence.erase(item.content);
     }
@@ -314,7 +321,8 @@
     if (found == m_evidence.end())
         return 0;
     return static_cast<std::size_t>(std::count_if(found->second.begin(), found->second.end(),
-                                                  [now](const Seen& seen) { return now - seen.at <= evidenceLife; }));
+                                                  [now](const EvidenceItem& item)
+                                                  { return now - item.endedAt <= evidenceLifetime; }));
 }
 
 ////////////////////////////////////////////////////////////
@@ -331,7 +339,7 @@
 ////////////////////////////////////////////////////////////
 std::vector<deployment::Quarantine> CrashLedger::takeChanged()
 {
-    return std::exchange(m_concluded, {});
+    return std::exchange(m_changed, {});
 }
 
 ////////////////////////////////////////////////////////////
