--- a/test/balance/ColdServers.test.cpp
+++ b/test/balance/ColdServers.test.cpp
@@ -84,7 +84,7 @@
     for (unsigned i = 0; i < dataCentres * serversOfDataCentre; ++i)
     {
         if (i % dataCentres != 1)
-            model.lose("old" + std::to_string(i));
+            model.removeServer("old" + std::to_string(i));
     }
     model.run(2s);
     model.beginCount();
@@ -93,7 +93,7 @@
     if (meanwhile)
         meanwhile(model);
     model.run(4s);
-    return {model.mostAtCold(), model.allAtCold(), model.tally(0).targetShare()};
+    return {model.maxPerSecondAtCold(), model.totalAtCold(), model.tally(0).targetShare()};
 }
 
 ////////////////////////////////////////////////////////////
@@ -230,7 +230,7 @@
         {
             for (unsigned i = 0; i < 95; ++i)
             {
-                model.restart(i);
+                model.restartNode(i);
                 model.run(10ms);
             }
         };
--- a/test/balance/FewSlots.test.cpp
+++ b/test/balance/FewSlots.test.cpp
@@ -65,7 +65,7 @@
     model.beginCount();
     model.run(12s);
     const auto tally = model.tally(0);
-    std::cout << perServer << " requests a second for each server, seed " << seed << ": owed " << tally.owed
+    std::cout << perServer << " requests a second for each server, seed " << seed << ": owed " << tally.requests
               << " served " << tally.servedShare() << " in target " << tally.targetShare() << '\n';
     return tally;
 }
--- a/test/balance/JoiningServers.test.cpp
+++ b/test/balance/JoiningServers.test.cpp
@@ -65,7 +65,7 @@
         for (unsigned i = 0; i < joining * dataCentres; ++i)
         {
             const std::string id = "new" + std::to_string(i);
-            const auto        first = model.got(id) == 0 ? 30s : model.firstGot(id) - joined;
+            const auto        first = model.countArrivals(id) == 0 ? 30s : model.firstArrival(id) - joined;
             longest = std::max<core::Duration>(longest, first);
             within += first <= bound ? 1 : 0;
             ++all;
--- a/test/balance/Overload.test.cpp
+++ b/test/balance/Overload.test.cpp
@@ -79,7 +79,7 @@
     for (std::size_t i = 0; i < kinds.size(); ++i)
     {
         std::cout << name << " load " << load << ' ' << kinds[i].name << " rank " << kinds[i].priority << " target "
-                  << kinds[i].target.count() / 1000 << " ms: owed " << tallies[i].owed << " served "
+                  << kinds[i].target.count() / 1000 << " ms: owed " << tallies[i].requests << " served "
                   << tallies[i].servedShare() << " in target " << tallies[i].targetShare() << " credit "
                   << tallies[i].creditShare(kinds[i].lateWorth) << '\n';
     }
--- a/test/balance/Shortage.test.cpp
+++ b/test/balance/Shortage.test.cpp
@@ -98,7 +98,7 @@
 ////////////////////////////////////////////////////////////
 void print(const std::string& what, double load, std::uint64_t seed, const ServiceModel::Tally& tally)
 {
-    std::cout << what << " load " << load << " seed " << seed << ": owed " << tally.owed << " served "
+    std::cout << what << " load " << load << " seed " << seed << ": owed " << tally.requests << " served "
               << tally.servedShare() << " in target " << tally.targetShare() << '\n';
 }
 
@@ -118,7 +118,7 @@
             Shortage restarted(load, seed);
             for (unsigned i = 0; i < nodes; ++i)
             {
-                restarted.model().restart(i);
+                restarted.model().restartNode(i);
                 restarted.model().run(20ms);
             }
             restarted.model().run(3s);
@@ -158,10 +158,10 @@
         usual += calm.count(10s).targetShare();
         Shortage service(0.6, seed);
         for (unsigned i = 0; i < servers; i += 2)
-            service.model().lose("s" + std::to_string(i));
+            service.model().removeServer("s" + std::to_string(i));
         without += service.count(10s).targetShare();
         for (unsigned i = 0; i < servers; i += 2)
-            service.model().bringBack("s" + std::to_string(i));
+            service.model().restoreServer("s" + std::to_string(i));
         service.model().run(5s);
         after += service.count(10s).targetShare();
     }
--- a/test/balance/crashes/CrashingRequests.test.cpp
+++ b/test/balance/crashes/CrashingRequests.test.cpp
@@ -72,12 +72,13 @@
     for (int second = 0; second < seconds; ++second)
     {
         model.run(1s);
-        const auto present = model.present();
+        const auto present = model.runningServers();
         if (others.count() > 0 && second * 1s % others == 0s && present.size() > 4)
-            model.end(present[random.below(present.size())]);
+            model.crashServer(present[random.below(present.size())]);
     }
-    return {model.culprit(culprit).ends.size(), model.culprit(culprit).beside,
-            model.culprit(culprit).sendsAfterThird(contact), model.wronglyRefused(), model.tally(0).servedShare()};
+    return {model.culprit(culprit).ends.size(), model.culprit(culprit).lostBeside,
+            model.culprit(culprit).countSendsAfterThirdEnd(contact), model.wronglyRefused(),
+            model.tally(0).servedShare()};
 }
 
 } // namespace
@@ -142,15 +143,15 @@
             for (int round = 0; round < 12; ++round)
             {
                 // A third at once, then one after the other.
-                auto present = model.present();
+                auto present = model.runningServers();
                 for (std::size_t i = 0; i < present.size(); i += 3)
-                    model.end(present[i]);
+                    model.crashServer(present[i]);
                 for (int one = 0; one < 8; ++one)
                 {
                     model.run(500ms);
-                    present = model.present();
+                    present = model.runningServers();
                     if (present.size() > 3)
-                        model.end(present[random.below(present.size())]);
+                        model.crashServer(present[random.below(present.size())]);
                 }
             }
             BOOST_TEST(model.wronglyRefused() == 0U);
--- a/test/balance/crashes/ServerLives.test.cpp
+++ b/test/balance/crashes/ServerLives.test.cpp
@@ -42,16 +42,16 @@
     model.beginCount();
     for (int second = 0; second < 40; ++second)
     {
-        const auto present = model.present();
+        const auto present = model.runningServers();
         for (std::size_t i = 0; i < 2; ++i)
-            model.startAgain(present[(random.below(present.size() / 2) + i * present.size() / 2)], 700ms);
+            model.restartServer(present[(random.below(present.size() / 2) + i * present.size() / 2)], 700ms);
         model.run(1s);
     }
     BOOST_TEST(model.wronglyRefused() == 0U);
     BOOST_TEST(model.tally(0).servedShare() > 0.98);
     // As new ones they get their share again.
     for (unsigned i = 0; i < 20; ++i)
-        BOOST_TEST(model.got("i-" + std::to_string(i)) > 30U);
+        BOOST_TEST(model.countArrivals("i-" + std::to_string(i)) > 30U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/balance/limits/Fleet.test.cpp
+++ b/test/balance/limits/Fleet.test.cpp
@@ -27,7 +27,7 @@
     unsigned       limited{allServers}; //!< Servers that name it
     double         skew{0};             //!< Share of the callers that come to one node
     double         demand{2.5};         //!< Requests of the service, as a multiple of the limit times all servers
-    core::Duration newsWay{100ms};
+    core::Duration reportDelay{100ms};
     core::Duration time{12s};
     std::uint64_t  seed{1};
 };
@@ -54,8 +54,8 @@
     ModelSettings settings;
     settings.nodes = load.nodes;
     settings.dataCentres = 4;
-    settings.skew = load.skew;
-    settings.newsWay = load.newsWay;
+    settings.firstNodeShare = load.skew;
+    settings.reportDelay = load.reportDelay;
     settings.seed = load.seed;
     KindOfRequest kind;
     kind.name = "read";
@@ -86,13 +86,13 @@
     for (unsigned i = 0; i < load.limited; ++i)
     {
         const auto& limited = model.limited(idOf(i));
-        if (!limited.toldAt)
+        if (!limited.limitReportedAt)
             continue;
-        const auto   from = *limited.toldAt + 1s;
+        const auto   from = *limited.limitReportedAt + 1s;
         // Until then the nodes make up for what the server got just before it named the limit.
-        const auto   evenFrom = *limited.toldAt + 3s;
-        const double got = static_cast<double>(limited.between(evenFrom, model.now()));
-        seen.most = std::max(seen.most, static_cast<double>(limited.mostIn(4s, from)) / allowed);
+        const auto   evenFrom = *limited.limitReportedAt + 3s;
+        const double got = static_cast<double>(limited.countBetween(evenFrom, model.now()));
+        seen.most = std::max(seen.most, static_cast<double>(limited.maxInSpan(4s, from)) / allowed);
         seen.used += got / (load.limit * core::toSeconds(model.now() - evenFrom)) / load.limited;
     }
     seen.served = model.tally(0).servedShare();
@@ -158,7 +158,7 @@
 BOOST_AUTO_TEST_CASE(WithNewsHalfASecondOnTheirWayServersGetNoMoreThanTheyBear)
 {
     Load load{95, 3.5, allServers};
-    load.newsWay = 500ms;
+    load.reportDelay = 500ms;
     const double asked = 1.1 * load.limit * 4 + 5;
     const double borne = 1.5 * load.limit * 4 + 5;
     BOOST_TEST(play(load).most * asked <= borne);
@@ -186,7 +186,7 @@
     model.beginCount();
     for (unsigned i = 0; i < load.nodes / 3; ++i)
     {
-        model.restart(i);
+        model.restartNode(i);
         model.run(50ms);
     }
     model.run(6s);
@@ -217,9 +217,9 @@
         for (unsigned i = 0; i < load.limited; ++i)
         {
             const auto& got = model.limited(idOf(i));
-            usual += static_cast<double>(got.between(begin - 4s, begin)) / 4;
-            after += static_cast<double>(got.between(end + 1s, end + 6s)) / 5;
-            BOOST_TEST(got.mostIn(1s, end) <= 30U); // No herd: three times what it got at the most
+            usual += static_cast<double>(got.countBetween(begin - 4s, begin)) / 4;
+            after += static_cast<double>(got.countBetween(end + 1s, end + 6s)) / 5;
+            BOOST_TEST(got.maxInSpan(1s, end) <= 30U); // No herd: three times what it got at the most
         }
     }
     std::cout << "requests a second before limits " << usual << ", from a second after their end " << after << '\n';
@@ -240,7 +240,7 @@
     for (unsigned i = 0; i < load.limited; ++i)
     {
         const auto& got = model.limited(idOf(i));
-        const auto  most = got.mostIn(4s, *got.toldAt + 1s);
+        const auto  most = got.maxInSpan(4s, *got.limitReportedAt + 1s);
         std::cout << "limits of " << load.limit << " and " << 4 * load.limit << " by turns: most in 4 s " << most
                   << '\n';
         BOOST_TEST(static_cast<double>(most) <= 1.1 * 2.5 * load.limit * 4 + 5); // The mean of both
--- a/test/balance/limits/Incident.test.cpp
+++ b/test/balance/limits/Incident.test.cpp
@@ -79,8 +79,8 @@
     {
         for (const ModelLimited& server : play(seed, limit, 12s))
         {
-            BOOST_REQUIRE(server.toldAt.has_value());
-            const std::size_t seen = server.mostIn(span, *server.toldAt + toldWithin);
+            BOOST_REQUIRE(server.limitReportedAt.has_value());
+            const std::size_t seen = server.maxInSpan(span, *server.limitReportedAt + toldWithin);
             std::cout << "limit " << limit << ", seed " << seed << ": most requests in 4 s " << seen << '\n';
             BOOST_TEST(static_cast<double>(seen) <= most);
         }
@@ -97,8 +97,8 @@
     {
         for (const ModelLimited& server : play(seed, limit, 6s))
         {
-            BOOST_REQUIRE(server.toldAt.has_value());
-            worst = std::max(worst, server.mostIn(span, *server.toldAt + contact - span));
+            BOOST_REQUIRE(server.limitReportedAt.has_value());
+            worst = std::max(worst, server.maxInSpan(span, *server.limitReportedAt + contact - span));
         }
     }
     std::cout << "limit " << limit << ": most in 4 s that end 3 s after the first word or later " << worst << '\n';
@@ -114,8 +114,9 @@
         {
             for (const ModelLimited& server : play(seed, named, 8s))
             {
-                if (server.toldAt)
-                    worst = std::max(worst, server.mostFromTold(span, 500ms, *server.toldAt + contact));
+                if (server.limitReportedAt)
+                    worst =
+                        std::max(worst, server.maxFromInformedNodes(span, 500ms, *server.limitReportedAt + contact));
             }
         }
         std::cout << "limit " << named << ": most in 4 s from nodes that knew " << worst << ", borne " << borneAt(named)
--- a/test/balance/notices/BackOff.test.cpp
+++ b/test/balance/notices/BackOff.test.cpp
@@ -261,18 +261,18 @@
     {
         support::ServiceModel model = busyModel(seed, perSecond);
         model.run(4s);
-        for (const std::string& id : model.present())
+        for (const std::string& id : model.runningServers())
             model.setBackOff(id, 3s);
         model.run(500ms);
-        for (const std::string& id : model.present())
+        for (const std::string& id : model.runningServers())
             model.setBackOff(id, 0s);
         const core::Timestamp mended = model.now() + 1s; // Nothing is under way any more
         model.run(5s);
         std::vector<core::Timestamp> got;
-        for (const std::string& id : model.present())
+        for (const std::string& id : model.runningServers())
         {
-            BOOST_TEST(model.noticed(id).mostInBackOff(500ms) == 0U);
-            for (const auto& [node, at] : model.noticed(id).got)
+            BOOST_TEST(model.noticed(id).maxInBackOff(500ms) == 0U);
+            for (const auto& [node, at] : model.noticed(id).arrivals)
             {
                 if (at > mended)
                     got.push_back(at);
--- a/test/balance/notices/Incident.test.cpp
+++ b/test/balance/notices/Incident.test.cpp
@@ -58,8 +58,8 @@
         model.run(8s);
         for (const char* id : {"s3", "s6"})
         {
-            BOOST_TEST_REQUIRE(!model.noticed(id).toldLeft.empty());
-            const std::size_t late = model.noticed(id).lateAfterLeaving(drain);
+            BOOST_TEST_REQUIRE(!model.noticed(id).leavingReportedAt.empty());
+            const std::size_t late = model.noticed(id).countLateAfterLeaving(drain);
             std::cout << "seed " << seed << ": " << late << " requests at " << id << " that had said it leaves\n";
             BOOST_TEST(late == 0U);
         }
@@ -78,7 +78,7 @@
         for (const char* id : {"s3", "s6"})
         {
             BOOST_TEST_REQUIRE(!model.noticed(id).backOffs.empty());
-            const std::size_t most = model.noticed(id).mostInBackOff(reaction);
+            const std::size_t most = model.noticed(id).maxInBackOff(reaction);
             std::cout << "seed " << seed << ": at most " << most << " requests of a node in a back-off of " << id
                       << '\n';
             BOOST_TEST(most == 0U);
@@ -113,7 +113,7 @@
     {
         ServiceModel model = modelOf(seed, 73, 0s);
         model.run(4s);
-        const auto old = model.present();
+        const auto old = model.runningServers();
         for (const std::string& id : old)
             model.setLeaving(id);
         model.beginCount();
@@ -127,7 +127,7 @@
                   << model.tally(0).targetShare() << " in time\n";
         BOOST_TEST(model.tally(0).servedShare() >= 0.98);
         for (const std::string& id : old)
-            BOOST_TEST(model.noticed(id).lateAfterLeaving(drain) == 0U);
+            BOOST_TEST(model.noticed(id).countLateAfterLeaving(drain) == 0U);
     }
 }
 
--- a/test/support/ServiceModel.hpp
+++ b/test/support/ServiceModel.hpp
@@ -67,7 +67,7 @@
     }
 
     /// \brief Let a node begin a new life, which knows nothing; its requests end without an answer
-    void restart(std::size_t index)
+    void restartNode(std::size_t index)
     {
         Node& node = m_nodes[index];
         node.wake = core::Timestamp::max();
@@ -85,14 +85,14 @@
     }
 
     /// \brief Let a server be gone at once, with all that it works on
-    void lose(const std::string& id)
+    void removeServer(const std::string& id)
     {
         m_servers.at(id)->gone = true;
         declareAnew();
     }
 
     /// \brief Let a server that was lost be there again, empty
-    void bringBack(const std::string& id)
+    void restoreServer(const std::string& id)
     {
         m_servers.at(id)->gone = false;
         declareAnew();
@@ -117,13 +117,13 @@
     }
 
     /// \brief Let a server end at once, by itself; another one takes its place
-    void end(const std::string& id)
+    void crashServer(const std::string& id)
     {
         endServer(*m_servers.at(id), nullptr);
     }
 
     /// \brief Let a server end at once and start again under its id
-    void startAgain(const std::string& id, core::Duration after)
+    void restartServer(const std::string& id, core::Duration after)
     {
         Server& server = *m_servers.at(id);
         loseAll(server, nullptr);
@@ -158,7 +158,7 @@
     {
         return m_wronglyRefused;
     }
-    [[nodiscard]] std::vector<std::string> present() const //!< Servers that run
+    [[nodiscard]] std::vector<std::string> runningServers() const //!< Servers that run
     {
         std::vector<std::string> ids;
         for (const auto& [id, server] : m_servers)
@@ -194,17 +194,17 @@
     {
         return m_tries;
     }
-    [[nodiscard]] std::size_t mostAtCold() const //!< Requests that one cold server got within a second
+    [[nodiscard]] std::size_t maxPerSecondAtCold() const //!< Requests that one cold server got within a second
     {
-        return m_mostAtCold;
+        return m_maxPerSecondAtCold;
     }
-    [[nodiscard]] std::size_t allAtCold() const //!< Requests that cold servers got
+    [[nodiscard]] std::size_t totalAtCold() const //!< Requests that cold servers got
     {
-        return m_allAtCold;
+        return m_totalAtCold;
     }
-    [[nodiscard]] std::size_t got(const std::string& server) const
+    [[nodiscard]] std::size_t countArrivals(const std::string& server) const
     {
-        return m_servers.at(server)->got;
+        return m_servers.at(server)->arrivals;
     }
     [[nodiscard]] const ModelLimited& limited(const std::string& server) const
     {
@@ -214,9 +214,9 @@
     {
         return m_servers.at(server)->noticed;
     }
-    [[nodiscard]] core::Timestamp firstGot(const std::string& server) const
+    [[nodiscard]] core::Timestamp firstArrival(const std::string& server) const
     {
-        return m_servers.at(server)->firstGot;
+        return m_servers.at(server)->firstArrival;
     }
 
 private:
@@ -258,9 +258,9 @@
         std::uint64_t                     salt{0};
         unsigned                          running{0};
         std::deque<std::shared_ptr<Work>> waiting;
-        std::size_t                       got{0};
-        std::deque<core::Timestamp>       gotCold; //!< In the last second
-        core::Timestamp                   firstGot{core::Timestamp::max()};
+        std::size_t                       arrivals{0};
+        std::deque<core::Timestamp>       coldArrivals; //!< In the last second
+        core::Timestamp                   firstArrival{core::Timestamp::max()};
         ModelLimited                      limited;
         ModelNoticed                      noticed;
     };
@@ -426,7 +426,7 @@
                call.countedIn = static_cast<std::uint64_t>(m_countFrom.time_since_epoch().count());
                ++m_contents;
                call.identity = identityOf("request " + std::to_string(m_contents), m_contents % callers);
-               ++m_tallies[kind].owed;
+               ++m_tallies[kind].requests;
                attempt(call);
                nextArrival(kind);
            });
@@ -455,10 +455,10 @@
     void endServer(Server& server, const Work* cause)
     {
         loseAll(server, cause);
-        at(m_now + m_settings.lapse, [this, id = server.model.id] { lose(id); });
+        at(m_now + m_settings.entryLifetime, [this, id = server.model.id] { removeServer(id); });
         ModelServer next = server.model;
         next.id = "again-" + std::to_string(++m_contents);
-        at(m_now + m_settings.comesBack, [this, next] { join(next); });
+        at(m_now + m_settings.replacementDelay, [this, next] { join(next); });
     }
 
     void loseAll(Server& server, const Work* cause)
@@ -479,7 +479,7 @@
             for (const auto& work : lost)
             {
                 if (cause != nullptr && work.get() != cause)
-                    ++m_culprits[*cause->culprit].beside;
+                    ++m_culprits[*cause->culprit].lostBeside;
                 work->dropped = true;
                 answer(server, work, balance::AttemptEnd::Lost, 0, true);
             }
@@ -489,7 +489,7 @@
     void tellLimits(Node& node)
     {
         std::vector<deployment::LimitNews> news = node.balancer->takeLimitNews();
-        if (news.empty() || m_settings.newsWay.count() == 0)
+        if (news.empty() || m_settings.reportDelay.count() == 0)
             return;
         for (const deployment::LimitNews& one : news)
             m_limitWords[one.server] = {one.perSecond, m_now - one.ago, one.doublings};
@@ -497,7 +497,7 @@
         {
             if (other.index == node.index)
                 continue;
-            const double way = core::toMilliseconds(m_settings.newsWay) * (0.25 + 0.75 * m_random.unit());
+            const double way = core::toMilliseconds(m_settings.reportDelay) * (0.25 + 0.75 * m_random.unit());
             at(m_now + core::fromMilliseconds(way),
                [this, &other, news]
                {
@@ -520,7 +520,7 @@
     {
         tellLimits(node);
         deployment::CrashNews news = node.balancer->takeCrashNews();
-        if (news.empty() || m_settings.newsWay.count() == 0)
+        if (news.empty() || m_settings.reportDelay.count() == 0)
             return;
         for (deployment::ServerEnd& end : news.ends)
             end.node = memberHash(node.index);
@@ -528,7 +528,7 @@
         {
             if (other.index == node.index)
                 continue;
-            const double way = core::toMilliseconds(m_settings.newsWay) * (0.25 + 0.75 * m_random.unit());
+            const double way = core::toMilliseconds(m_settings.reportDelay) * (0.25 + 0.75 * m_random.unit());
             at(m_now + core::fromMilliseconds(way),
                [this, &other, news]
                {
@@ -561,7 +561,7 @@
 
     void attempt(Call call)
     {
-        const bool        first = m_settings.skew > 0 && m_random.unit() < m_settings.skew;
+        const bool        first = m_settings.firstNodeShare > 0 && m_random.unit() < m_settings.firstNodeShare;
         const std::size_t node = first ? 0 : m_random.below(m_nodes.size());
         at(m_now + m_settings.clientTrip, [this, call, node] { arrive(m_nodes[node], call); });
     }
@@ -576,7 +576,7 @@
         ++call.tries;
         node.calls[ticket] = call;
         balance::Arrival arrival{"a.example", target, m_now, call.patience - (m_now - call.first), {}};
-        if (m_settings.knowsRequests && node.balancer->looksUpRequests())
+        if (m_settings.passesIdentity && node.balancer->looksUpRequests())
             arrival.identity = call.identity;
         node.balancer->admit(ticket, arrival, m_now);
         take(node);
@@ -683,7 +683,7 @@
         if (keep)
         {
             list.idle.push_back(m_now);
-            at(m_now + m_settings.connectionRest,
+            at(m_now + m_settings.idleTimeout,
                [this, &node, &server, &list]
                {
                    prune(list);
@@ -695,7 +695,7 @@
 
     void prune(Connections& list) const
     {
-        std::erase_if(list.idle, [this](core::Timestamp since) { return since + m_settings.connectionRest <= m_now; });
+        std::erase_if(list.idle, [this](core::Timestamp since) { return since + m_settings.idleTimeout <= m_now; });
     }
 
     void tell(Node& node, const Server& server, const Connections& list)
@@ -723,11 +723,11 @@
     {
         if (!isCold(server, m_now))
             return;
-        server.gotCold.push_back(m_now);
-        while (server.gotCold.front() + std::chrono::seconds{1} <= m_now)
-            server.gotCold.pop_front();
-        m_mostAtCold = std::max(m_mostAtCold, server.gotCold.size());
-        ++m_allAtCold;
+        server.coldArrivals.push_back(m_now);
+        while (server.coldArrivals.front() + std::chrono::seconds{1} <= m_now)
+            server.coldArrivals.pop_front();
+        m_maxPerSecondAtCold = std::max(m_maxPerSecondAtCold, server.coldArrivals.size());
+        ++m_totalAtCold;
     }
 
     [[nodiscard]] balance::Load loadOf(const Server& server) const
@@ -834,12 +834,12 @@
         work->reached = true;
         if (work->culprit)
             m_culprits[*work->culprit].sends.push_back(m_now);
-        ++server.got;
-        server.limited.got.push_back(m_now);
-        server.noticed.got.emplace_back(work->node, m_now);
-        server.limited.from.push_back(work->node);
+        ++server.arrivals;
+        server.limited.arrivals.push_back(m_now);
+        server.noticed.arrivals.emplace_back(work->node, m_now);
+        server.limited.senders.push_back(work->node);
         countCold(server);
-        server.firstGot = std::min(server.firstGot, m_now);
+        server.firstArrival = std::min(server.firstArrival, m_now);
         if (server.model.failing || server.gone)
             return answer(server, work, balance::AttemptEnd::Lost, 0);
         if (server.model.backOff.count() > 0)
@@ -901,7 +901,7 @@
                if (!notice.empty())
                    node.balancer->noticed(work->instance, notice, balance::NoticeSource::Answer, m_now);
                if (notice.leaving)
-                   server.noticed.toldLeft.emplace(node.index, m_now);
+                   server.noticed.leavingReportedAt.emplace(node.index, m_now);
                if (node.sent.erase({work->ticket, work->attempt}) == 0)
                    return;
                const bool answered = end == balance::AttemptEnd::Answered || end == balance::AttemptEnd::NotRun;
@@ -910,16 +910,16 @@
                outcome.end = end;
                outcome.status = status;
                outcome.connectionEnded = serverEnded;
-               if (m_settings.knowsRequests && (serverEnded || node.balancer->looksUpRequests()))
+               if (m_settings.passesIdentity && (serverEnded || node.balancer->looksUpRequests()))
                    outcome.identity = work->identity;
                if (answered)
                    outcome.load = load;
                if (answered)
                    outcome.limit = limit.value_or(balance::unlimited);
-               if (answered && limit && !server.limited.toldAt)
-                   server.limited.toldAt = m_now;
+               if (answered && limit && !server.limited.limitReportedAt)
+                   server.limited.limitReportedAt = m_now;
                if (answered && limit)
-                   server.limited.told.emplace(node.index, m_now);
+                   server.limited.informedAt.emplace(node.index, m_now);
                if (end == balance::AttemptEnd::Answered && status >= 500)
                    node.failed.insert({work->ticket, work->attempt});
                node.balancer->attemptEnded(work->ticket, work->attempt, outcome, m_now);
@@ -972,8 +972,8 @@
     std::vector<Tally>                             m_tallies;
     std::vector<Try>                               m_tries;
     core::Timestamp                                m_countFrom{};
-    std::size_t                                    m_mostAtCold{0};
-    std::size_t                                    m_allAtCold{0};
+    std::size_t                                    m_maxPerSecondAtCold{0};
+    std::size_t                                    m_totalAtCold{0};
     balance::Ticket                                m_ticket{0};
     std::uint64_t                                  m_number{0};
     std::deque<ModelCulprit>                       m_culprits;
--- a/test/support/ServiceModelTypes.hpp
+++ b/test/support/ServiceModelTypes.hpp
@@ -66,7 +66,7 @@
     double         warmUpRate{0};     //!< Requests a second that a cold server bears; 0: no limit
     double         warmUpExcess{1.5}; //!< Times that in one second
     double         warmUpSlack{8};    //!< And so many requests more
-    double         skew{0};           //!< Share of the callers that come to the first node, besides its even share
+    double         firstNodeShare{0}; //!< Share of the callers that come to the first node, besides its even share
     double         membersKnown{1};   //!< Share of the other nodes that each node knows
     double         knee{0.8};         //!< Share of the slots above which a server is slower
     double         kneePace{1};       //!< How much slower
@@ -74,16 +74,17 @@
     core::Duration farTrip{std::chrono::microseconds{1400}}; //!< One way between data centres
     core::Duration clientTrip{std::chrono::milliseconds{1}}; //!< One way from a caller
     core::Duration handshake{std::chrono::milliseconds{1}};  //!< Of a new connection
-    core::Duration connectionRest{std::chrono::seconds{6}};  //!< Until a connection at rest is closed
+    core::Duration idleTimeout{std::chrono::seconds{6}};     //!< Until a connection at rest is closed
     double         probeRate{60};                            //!< Probes a server may get a second
     double         retryRatio{0.1};                          //!< Of the fleet's retry budget
     double         retryExtra{56};                           //!< Of the fleet's retry budget
     bool           nearFirst{true};                          //!< As in the balancer's settings
-    bool           knowsRequests{true}; //!< Balancers are told what a request is known by when it comes again
-    core::Duration newsWay{std::chrono::milliseconds{100}}; //!< Longest way of news between nodes; 0: none is told
-    core::Duration lapse{std::chrono::milliseconds{4500}};  //!< Until the entry of a server that ended is gone
-    core::Duration comesBack{std::chrono::seconds{3}};      //!< Until another server takes the place of one that ended
-    std::uint64_t  seed{1};                                 //!< Of everything random
+    bool           passesIdentity{true}; //!< Balancers are told what a request is known by when it comes again
+    core::Duration reportDelay{std::chrono::milliseconds{100}}; //!< Longest way of news between nodes; 0: none is told
+    core::Duration entryLifetime{std::chrono::milliseconds{4500}}; //!< Until the entry of a server that ended is gone
+    core::Duration replacementDelay{
+        std::chrono::seconds{3}}; //!< Until another server takes the place of one that ended
+    std::uint64_t seed{1};        //!< Of everything random
 };
 
 ////////////////////////////////////////////////////////////
@@ -91,12 +92,12 @@
 ////////////////////////////////////////////////////////////
 struct ModelCulprit
 {
-    std::vector<core::Timestamp> sends;     //!< When it reached servers
-    std::vector<core::Timestamp> ends;      //!< When servers ended under it
-    std::size_t                  beside{0}; //!< Other requests lost with these
+    std::vector<core::Timestamp> sends;         //!< When it reached servers
+    std::vector<core::Timestamp> ends;          //!< When servers ended under it
+    std::size_t                  lostBeside{0}; //!< Other requests lost with these
 
     /// \brief How often it reached servers later than a time after the third of these had ended
-    [[nodiscard]] std::size_t sendsAfterThird(core::Duration later) const
+    [[nodiscard]] std::size_t countSendsAfterThirdEnd(core::Duration later) const
     {
         if (ends.size() < 3)
             return 0;
@@ -110,30 +111,31 @@
 ////////////////////////////////////////////////////////////
 struct ModelLimited
 {
-    std::optional<core::Timestamp>         toldAt; //!< Its first answer with a limit was at a node
-    std::vector<core::Timestamp>           got;    //!< Requests, whoever sent them
-    std::vector<std::size_t>               from;   //!< Node that sent each
-    std::map<std::size_t, core::Timestamp> told;   //!< When nodes first passed on an answer with the limit
+    std::optional<core::Timestamp>         limitReportedAt; //!< Its first answer with a limit was at a node
+    std::vector<core::Timestamp>           arrivals;        //!< Requests, whoever sent them
+    std::vector<std::size_t>               senders;         //!< Node that sent each
+    std::map<std::size_t, core::Timestamp> informedAt;      //!< When nodes first passed on an answer with the limit
 
     /// \brief Requests from one time to another
-    [[nodiscard]] std::size_t between(core::Timestamp from, core::Timestamp to) const
+    [[nodiscard]] std::size_t countBetween(core::Timestamp from, core::Timestamp to) const
     {
         return static_cast<std::size_t>(
-            std::count_if(got.begin(), got.end(), [&](core::Timestamp at) { return at >= from && at < to; }));
+            std::count_if(arrivals.begin(), arrivals.end(), [&](core::Timestamp at) { return at >= from && at < to; }));
     }
 
     /// \brief Most requests in any span that ends at a time or later, from nodes that knew a while before its end
-    [[nodiscard]] std::size_t mostFromTold(core::Duration span, core::Duration knewFor, core::Timestamp end) const
+    [[nodiscard]] std::size_t maxFromInformedNodes(core::Duration span, core::Duration knewFor,
+                                                   core::Timestamp end) const
     {
         std::size_t most = 0;
-        for (const core::Timestamp last : got)
+        for (const core::Timestamp last : arrivals)
         {
             std::size_t count = 0;
-            for (std::size_t i = 0; last >= end && i < got.size(); ++i)
+            for (std::size_t i = 0; last >= end && i < arrivals.size(); ++i)
             {
-                const auto known = told.find(from[i]);
-                const bool counts = known != told.end() && known->second + knewFor <= last;
-                count += counts && got[i] <= last && got[i] > last - span ? 1 : 0;
+                const auto known = informedAt.find(senders[i]);
+                const bool counts = known != informedAt.end() && known->second + knewFor <= last;
+                count += counts && arrivals[i] <= last && arrivals[i] > last - span ? 1 : 0;
             }
             most = std::max(most, count);
         }
@@ -141,13 +143,13 @@
     }
 
     /// \brief Most requests in any span of a length that begins at a time or later
-    [[nodiscard]] std::size_t mostIn(core::Duration span, core::Timestamp from) const
+    [[nodiscard]] std::size_t maxInSpan(core::Duration span, core::Timestamp from) const
     {
         std::size_t most = 0;
-        for (const core::Timestamp at : got)
+        for (const core::Timestamp at : arrivals)
         {
             if (at >= from)
-                most = std::max(most, between(at, at + span));
+                most = std::max(most, countBetween(at, at + span));
         }
         return most;
     }
@@ -166,23 +168,23 @@
         core::Duration  length{}; //!< For how long
     };
 
-    std::vector<std::pair<std::size_t, core::Timestamp>> got;      //!< Requests: from which node, when
-    std::map<std::size_t, core::Timestamp>               toldLeft; //!< When nodes first had an answer that it leaves
-    std::vector<BackOff>                                 backOffs; //!< All that it asked for
+    std::vector<std::pair<std::size_t, core::Timestamp>> arrivals; //!< Requests: from which node, when
+    std::map<std::size_t, core::Timestamp> leavingReportedAt;      //!< When nodes first had an answer that it leaves
+    std::vector<BackOff>                   backOffs;               //!< All that it asked for
 
     /// \brief Requests from nodes that had known for a time that it leaves
-    [[nodiscard]] std::size_t lateAfterLeaving(core::Duration knew) const
+    [[nodiscard]] std::size_t countLateAfterLeaving(core::Duration knew) const
     {
         const auto late = [&](const auto& request)
         {
-            const auto told = toldLeft.find(request.first);
-            return told != toldLeft.end() && request.second > told->second + knew;
+            const auto told = leavingReportedAt.find(request.first);
+            return told != leavingReportedAt.end() && request.second > told->second + knew;
         };
-        return static_cast<std::size_t>(std::count_if(got.begin(), got.end(), late));
+        return static_cast<std::size_t>(std::count_if(arrivals.begin(), arrivals.end(), late));
     }
 
     /// \brief Most requests of one node in one back-off, later than a time after it was asked for
-    [[nodiscard]] std::size_t mostInBackOff(core::Duration later) const
+    [[nodiscard]] std::size_t maxInBackOff(core::Duration later) const
     {
         std::size_t most = 0;
         for (const BackOff& backOff : backOffs)
@@ -192,7 +194,7 @@
                 return request.first == backOff.node && request.second > backOff.at + later &&
                        request.second <= backOff.at + backOff.length;
             };
-            most = std::max(most, static_cast<std::size_t>(std::count_if(got.begin(), got.end(), within)));
+            most = std::max(most, static_cast<std::size_t>(std::count_if(arrivals.begin(), arrivals.end(), within)));
         }
         return most;
     }
@@ -203,11 +205,11 @@
 ////////////////////////////////////////////////////////////
 struct ModelTry
 {
-    std::size_t     kind{0};       //!< Index of its kind
-    core::Timestamp at{};          //!< When it was made
-    std::string     firstService;  //!< Service that it was first sent to; empty when refused unsent
-    bool            second{false}; //!< Its caller had tried before
-    bool            moved{false};  //!< It was sent to a second service
+    std::size_t     kind{0};        //!< Index of its kind
+    core::Timestamp at{};           //!< When it was made
+    std::string     firstService;   //!< Service that it was first sent to; empty when refused unsent
+    bool            isRetry{false}; //!< Its caller had tried before
+    bool            moved{false};   //!< It was sent to a second service
 };
 
 ////////////////////////////////////////////////////////////
@@ -215,22 +217,23 @@
 ////////////////////////////////////////////////////////////
 struct ModelTally
 {
-    std::size_t owed{0};     //!< Requests, each with all its tries
+    std::size_t requests{0}; //!< Requests, each with all its tries
     std::size_t served{0};   //!< In the caller's time
     std::size_t inTarget{0}; //!< Within the target from the first try on
 
     [[nodiscard]] double servedShare() const
     {
-        return owed == 0 ? 0 : static_cast<double>(served) / static_cast<double>(owed);
+        return requests == 0 ? 0 : static_cast<double>(served) / static_cast<double>(requests);
     }
     [[nodiscard]] double creditShare(double late) const
     {
         const auto inTime = static_cast<double>(inTarget);
-        return owed == 0 ? 0 : (inTime + late * (static_cast<double>(served) - inTime)) / static_cast<double>(owed);
+        return requests == 0 ? 0
+                             : (inTime + late * (static_cast<double>(served) - inTime)) / static_cast<double>(requests);
     }
     [[nodiscard]] double targetShare() const
     {
-        return owed == 0 ? 0 : static_cast<double>(inTarget) / static_cast<double>(owed);
+        return requests == 0 ? 0 : static_cast<double>(inTarget) / static_cast<double>(requests);
     }
 };
 
