--- a/test/support/ServiceModelTypes.hpp
+++ b/test/support/ServiceModelTypes.hpp
@@ -14,22 +14,22 @@
 namespace sailpath::support
 {
 ////////////////////////////////////////////////////////////
-/// \brief A kind of request that callers of the model make
+/// \brief A kind of request that callers of the model send
 ////////////////////////////////////////////////////////////
 struct KindOfRequest
 {
-    std::string                        name;                 //!< Of its route
-    unsigned                           priority{0};          //!< Rank; 0 goes first
-    core::Duration                     target{};             //!< Time within which an answer is wanted
-    core::Duration                     timeout{};            //!< Of its route
-    core::Duration                     patience{};           //!< How long a caller tries
-    double                             patienceSpread{0};    //!< Part of it that callers' whole times differ by
-    double                             workMs{100};          //!< Mean work at a pace of 1
-    double                             perSecond{10};        //!< From all callers
-    unsigned                           retries{1};           //!< Further tries of a caller
+    std::string                        name;                 //!< Name of its route
+    unsigned                           priority{0};          //!< Priority of its route; 0 is the most urgent
+    core::Duration                     target{};             //!< Target latency of its route
+    core::Duration                     timeout{};            //!< Timeout of its route
+    core::Duration                     patience{};           //!< Time from a caller's first try until it gives up
+    double                             patienceSpread{0};    //!< Largest part by which a caller's patience is shorter
+    double                             workMs{100};          //!< Mean work in milliseconds, at a pace of 1
+    double                             perSecond{10};        //!< Requests per second from all callers
+    unsigned                           retries{1};           //!< Most further tries of a caller
     bool                               repeatable{true};     //!< May run more than once
-    std::vector<deployment::SplitPart> parts{{"portal", 1}}; //!< Services
-    double                             lateWorth{0.1};       //!< Of an answer after the target
+    std::vector<deployment::SplitPart> parts{{"portal", 1}}; //!< Services of its route, with weights
+    double                             lateWorth{0.1};       //!< Worth of an answer after the target; 1 before it
 };
 
 ////////////////////////////////////////////////////////////
@@ -37,66 +37,65 @@
 ////////////////////////////////////////////////////////////
 struct ModelServer
 {
-    std::string     id;                //!< Its name
-    std::string     service{"portal"}; //!< What it belongs to
+    std::string     id;                //!< Id of its instance
+    std::string     service{"portal"}; //!< Service of its instance
     std::string     dataCentre{"dc0"}; //!< Where it runs
-    unsigned        slots{3};          //!< Requests it works on at once
-    unsigned        queue{12};         //!< Requests it keeps waiting
-    bool            failing{false};    //!< Loses what it is sent
-    core::Timestamp joined{};          //!< When its entry was first written
+    unsigned        slots{3};          //!< Requests that it runs at once
+    unsigned        queue{12};         //!< Requests that it keeps waiting at most
+    bool            failing{false};    //!< Loses each request that it gets
+    core::Timestamp joined{};          //!< When its entry was first written; default: before the model starts
 
-    std::optional<double> limit{};        //!< Requests a second from all nodes together that its answers name
+    std::optional<double> limit{};        //!< Requests per second from all nodes that its answers name; null: no limit
     bool                  leaving{false}; //!< All its answers say that it shuts down
-    core::Duration        backOff{};      //!< It turns requests away and asks for none for so long; 0: it takes them
+    core::Duration        backOff{}; //!< It rejects all requests and asks for a back-off of this length; 0: neither
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What the model's surroundings are like
+/// \brief Surroundings of the model's nodes: network, servers and configuration
 ////////////////////////////////////////////////////////////
 struct ModelSettings
 {
-    unsigned       nodes{12};                                 //!< Balancers
-    unsigned       dataCentres{3};                            //!< That nodes and servers are spread over
-    double         noiseShare{0.35};                          //!< Of the time a server works slower
-    double         noisePace{5};                              //!< How much slower
-    core::Duration noiseSpan{std::chrono::milliseconds{150}}; //!< Between changes of its pace
+    unsigned       nodes{12};                                 //!< Number of balancers
+    unsigned       dataCentres{3};                            //!< Data centres that nodes and servers are spread over
+    double         noiseShare{0.35};                          //!< Share of the time that a server works slower
+    double         noisePace{5};                              //!< Factor by which its work takes longer then
+    core::Duration noiseSpan{std::chrono::milliseconds{150}}; //!< Time between changes of a server's pace
     bool           paceHolds{false};                          //!< Work keeps the pace that it begins at
-    core::Duration coldTime{std::chrono::seconds{3}};         //!< A server is slow from its start
-    double         coldPace{2};                               //!< How much slower
-    double         warmUpRate{0};     //!< Requests a second that a cold server bears; 0: no limit
-    double         warmUpExcess{1.5}; //!< Times that in one second
-    double         warmUpSlack{8};    //!< And so many requests more
-    double         firstNodeShare{0}; //!< Share of the callers that come to the first node, besides its even share
+    core::Duration coldTime{std::chrono::seconds{3}};         //!< Time from its start that a server is cold
+    double         coldPace{2};                               //!< Factor by which work takes longer at a cold server
+    double         warmUpRate{0};     //!< Requests per second that a cold server bears; 0: no limit
+    double         warmUpExcess{1.5}; //!< Multiple of `warmUpRate` that it bears in one second
+    double         warmUpSlack{8};    //!< Requests that it bears beyond that multiple
+    double         firstNodeShare{0}; //!< Share of the callers that use the first node, besides its even share
     double         membersKnown{1};   //!< Share of the other nodes that each node knows
     double         knee{0.8};         //!< Share of the slots above which a server is slower
-    double         kneePace{1};       //!< How much slower
-    core::Duration nearTrip{std::chrono::microseconds{100}}; //!< One way within a data centre
-    core::Duration farTrip{std::chrono::microseconds{1400}}; //!< One way between data centres
-    core::Duration clientTrip{std::chrono::milliseconds{1}}; //!< One way from a caller
-    core::Duration handshake{std::chrono::milliseconds{1}};  //!< Of a new connection
-    core::Duration idleTimeout{std::chrono::seconds{6}};     //!< Until a connection at rest is closed
-    double         probeRate{60};                            //!< Probes a server may get a second
-    double         retryRatio{0.1};                          //!< Of the fleet's retry budget
-    double         retryExtra{56};                           //!< Of the fleet's retry budget
-    bool           nearFirst{true};                          //!< As in the balancer's settings
-    bool           passesIdentity{true}; //!< Balancers are told what a request is known by when it comes again
-    core::Duration reportDelay{std::chrono::milliseconds{100}}; //!< Longest way of news between nodes; 0: none is told
-    core::Duration entryLifetime{std::chrono::milliseconds{4500}}; //!< Until the entry of a server that ended is gone
-    core::Duration replacementDelay{
-        std::chrono::seconds{3}}; //!< Until another server takes the place of one that ended
-    std::uint64_t seed{1};        //!< Of everything random
+    double         kneePace{1};       //!< Factor by which its work takes longer then
+    core::Duration nearTrip{std::chrono::microseconds{100}};    //!< One-way delay within a data centre
+    core::Duration farTrip{std::chrono::microseconds{1400}};    //!< One-way delay between data centres
+    core::Duration clientTrip{std::chrono::milliseconds{1}};    //!< One-way delay between a caller and a node
+    core::Duration handshake{std::chrono::milliseconds{1}};     //!< Extra time to open a connection
+    core::Duration idleTimeout{std::chrono::seconds{6}};        //!< Time until an idle connection is closed
+    double         probeRate{60};                               //!< Probes per second that a server may get
+    double         retryRatio{0.1};                             //!< Retry budget of the fleet, share of the requests
+    double         retryExtra{56};                              //!< Retry budget of the fleet, retries beyond it
+    bool           nearFirst{true};                             //!< As in the balancer's settings
+    bool           passesIdentity{true};                        //!< Balancers get the identities of requests
+    core::Duration reportDelay{std::chrono::milliseconds{100}}; //!< Longest delay between nodes; 0: no reports at all
+    core::Duration entryLifetime{std::chrono::milliseconds{4500}}; //!< From a server's end until its entry is removed
+    core::Duration replacementDelay{std::chrono::seconds{3}};      //!< From a server's end until another one joins
+    std::uint64_t  seed{1};                                        //!< Seed of all random numbers
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What came of a request that ends the servers that run it
+/// \brief Effects of a request that ends the servers that run it
 ////////////////////////////////////////////////////////////
 struct ModelCulprit
 {
-    std::vector<core::Timestamp> sends;         //!< When it reached servers
+    std::vector<core::Timestamp> sends;         //!< When it arrived at servers
     std::vector<core::Timestamp> ends;          //!< When servers ended under it
-    std::size_t                  lostBeside{0}; //!< Other requests lost with these
+    std::size_t                  lostBeside{0}; //!< Other requests lost with these servers
 
-    /// \brief How often it reached servers later than a time after the third of these had ended
+    /// \brief Count its arrivals at servers later than a time after the third server had ended
     [[nodiscard]] std::size_t countSendsAfterThirdEnd(core::Duration later) const
     {
         if (ends.size() < 3)
@@ -107,23 +106,27 @@
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What a server got since it first named its limit
+/// \brief Requests that a server with a limit got
 ////////////////////////////////////////////////////////////
 struct ModelLimited
 {
-    std::optional<core::Timestamp>         limitReportedAt; //!< Its first answer with a limit was at a node
-    std::vector<core::Timestamp>           arrivals;        //!< Requests, whoever sent them
-    std::vector<std::size_t>               senders;         //!< Node that sent each
-    std::map<std::size_t, core::Timestamp> informedAt;      //!< When nodes first passed on an answer with the limit
+    std::optional<core::Timestamp>         limitReportedAt; //!< When a node got its first answer with a limit
+    std::vector<core::Timestamp>           arrivals;        //!< Times of all requests, from any node
+    std::vector<std::size_t>               senders;         //!< Index of the node that sent each
+    std::map<std::size_t, core::Timestamp> informedAt;      //!< By node: when it got its first answer with a limit
 
-    /// \brief Requests from one time to another
+    /// \brief Count the requests from one time until another, which is excluded
     [[nodiscard]] std::size_t countBetween(core::Timestamp from, core::Timestamp to) const
     {
         return static_cast<std::size_t>(
             std::count_if(arrivals.begin(), arrivals.end(), [&](core::Timestamp at) { return at >= from && at < to; }));
     }
 
-    /// \brief Most requests in any span that ends at a time or later, from nodes that knew a while before its end
+    /// \brief Return the most requests in any span that ends at a time or later, from nodes that knew the limit
+    ///
+    /// \param span    Length of the span
+    /// \param knewFor How long before the end of the span a node must have known the limit to count
+    /// \param end     Earliest end of a span
     [[nodiscard]] std::size_t maxFromInformedNodes(core::Duration span, core::Duration knewFor,
                                                    core::Timestamp end) const
     {
@@ -133,8 +136,8 @@
             std::size_t count = 0;
             for (std::size_t i = 0; last >= end && i < arrivals.size(); ++i)
             {
-                const auto known = informedAt.find(senders[i]);
-                const bool counts = known != informedAt.end() && known->second + knewFor <= last;
+                const auto informed = informedAt.find(senders[i]);
+                const bool counts = informed != informedAt.end() && informed->second + knewFor <= last;
                 count += counts && arrivals[i] <= last && arrivals[i] > last - span ? 1 : 0;
             }
             most = std::max(most, count);
@@ -142,7 +145,7 @@
         return most;
     }
 
-    /// \brief Most requests in any span of a length that begins at a time or later
+    /// \brief Return the most requests in any span of a length that begins at a time or later
     [[nodiscard]] std::size_t maxInSpan(core::Duration span, core::Timestamp from) const
     {
         std::size_t most = 0;
@@ -156,34 +159,34 @@
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What a server got against its own notices
+/// \brief Requests that a server got, and the notices that it gave
 ////////////////////////////////////////////////////////////
 struct ModelNoticed
 {
-    /// \brief A node that was turned away and asked to back off
+    /// \brief A node's request that was rejected, with a back-off asked for
     struct BackOff
     {
-        std::size_t     node{0};  //!< Which
-        core::Timestamp at{};     //!< When the server answered it
-        core::Duration  length{}; //!< For how long
+        std::size_t     node{0};  //!< Index of the node
+        core::Timestamp at{};     //!< When the server rejected the request
+        core::Duration  length{}; //!< Length of the back-off
     };
 
-    std::vector<std::pair<std::size_t, core::Timestamp>> arrivals; //!< Requests: from which node, when
-    std::map<std::size_t, core::Timestamp> leavingReportedAt;      //!< When nodes first had an answer that it leaves
-    std::vector<BackOff>                   backOffs;               //!< All that it asked for
+    std::vector<std::pair<std::size_t, core::Timestamp>> arrivals; //!< Requests: index of the node, time
+    std::map<std::size_t, core::Timestamp> leavingReportedAt; //!< By node: when it first got an answer with the notice
+    std::vector<BackOff>                   backOffs;          //!< All back-offs that the server asked for
 
-    /// \brief Requests from nodes that had known for a time that it leaves
+    /// \brief Count requests from nodes that had known for longer than a time that the server leaves
     [[nodiscard]] std::size_t countLateAfterLeaving(core::Duration knew) const
     {
         const auto late = [&](const auto& request)
         {
-            const auto told = leavingReportedAt.find(request.first);
-            return told != leavingReportedAt.end() && request.second > told->second + knew;
+            const auto reported = leavingReportedAt.find(request.first);
+            return reported != leavingReportedAt.end() && request.second > reported->second + knew;
         };
         return static_cast<std::size_t>(std::count_if(arrivals.begin(), arrivals.end(), late));
     }
 
-    /// \brief Most requests of one node in one back-off, later than a time after it was asked for
+    /// \brief Return the most requests of one node in one back-off, later than a time after its start
     [[nodiscard]] std::size_t maxInBackOff(core::Duration later) const
     {
         std::size_t most = 0;
@@ -201,25 +204,25 @@
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief One try of a caller
+/// \brief One try of a caller to get a request answered
 ////////////////////////////////////////////////////////////
 struct ModelTry
 {
-    std::size_t     kind{0};        //!< Index of its kind
-    core::Timestamp at{};           //!< When it was made
-    std::string     firstService;   //!< Service that it was first sent to; empty when refused unsent
-    bool            isRetry{false}; //!< Its caller had tried before
-    bool            moved{false};   //!< It was sent to a second service
+    std::size_t     kind{0};        //!< Index of the kind of request
+    core::Timestamp at{};           //!< When it arrived at a node
+    std::string     firstService;   //!< Service that it was first sent to; empty if it was sent to none
+    bool            isRetry{false}; //!< The caller had tried the same request before
+    bool            moved{false};   //!< It was sent to a second service as well
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What came of a kind of request
+/// \brief Results of one kind of request
 ////////////////////////////////////////////////////////////
 struct ModelTally
 {
-    std::size_t requests{0}; //!< Requests, each with all its tries
-    std::size_t served{0};   //!< In the caller's time
-    std::size_t inTarget{0}; //!< Within the target from the first try on
+    std::size_t requests{0}; //!< Requests, each counted once with all its tries
+    std::size_t served{0};   //!< Answered within the caller's patience
+    std::size_t inTarget{0}; //!< Answered within the target latency, from the first try on
 
     [[nodiscard]] double servedShare() const
     {
