--- a/test/support/ServiceModel.hpp
+++ b/test/support/ServiceModel.hpp
@@ -19,7 +19,7 @@
 namespace sailpath::support
 {
 ////////////////////////////////////////////////////////////
-/// \brief Balancers of many nodes before the same servers, with callers, in virtual time
+/// \brief Simulation, in virtual time, of callers, the balancers of many nodes and the servers that they share
 ////////////////////////////////////////////////////////////
 class ServiceModel
 {
@@ -53,24 +53,24 @@
             const Event event = m_events.top();
             m_events.pop();
             m_now = event.at;
-            event.work();
+            event.action();
         }
         m_now = until;
     }
 
-    /// \brief Let a server's first entry be known everywhere now
+    /// \brief Add a server whose first entry reaches all nodes now
     void join(ModelServer server)
     {
         server.joined = m_now;
         addServer(std::move(server));
-        declareAnew();
+        redeclare();
     }
 
-    /// \brief Let a node begin a new life, which knows nothing; its requests end without an answer
+    /// \brief Restart a node without its former state; its requests end without an answer
     void restartNode(std::size_t index)
     {
         Node& node = m_nodes[index];
-        node.wake = core::Timestamp::max();
+        node.wakeAt = core::Timestamp::max();
         startBalancer(node);
         for (const auto& [key, work] : std::exchange(node.sent, {}))
         {
@@ -79,74 +79,76 @@
         }
         node.calls.clear();
         node.failed.clear();
-        hearOfLimits(node);
+        receiveLimitReports(node);
         for (auto& [id, connections] : node.connections)
             connections.idle.clear();
     }
 
-    /// \brief Let a server be gone at once, with all that it works on
+    /// \brief Remove a server and its entry at once; requests that arrive at it from now on are lost
     void removeServer(const std::string& id)
     {
         m_servers.at(id)->gone = true;
-        declareAnew();
+        redeclare();
     }
 
-    /// \brief Let a server that was lost be there again, empty
+    /// \brief Restore a removed server and its entry
     void restoreServer(const std::string& id)
     {
         m_servers.at(id)->gone = false;
-        declareAnew();
+        redeclare();
     }
 
-    /// \brief Let a server name a limit in its answers from now on, or none any more
+    /// \brief Set the limit, in requests per second, that a server names in its answers from now on; null: none
     void setLimit(const std::string& id, std::optional<double> perSecond)
     {
         m_servers.at(id)->model.limit = perSecond;
     }
 
-    /// \brief Let a server say in all its answers from now on that it shuts down; its entry does not tell
+    /// \brief Make a server say in all its answers from now on that it shuts down; its entry does not change
     void setLeaving(const std::string& id)
     {
         m_servers.at(id)->model.leaving = true;
     }
 
-    /// \brief Let a server turn all requests away from now on and ask for none for a while; 0: it takes them again
+    /// \brief Make a server reject all requests from now on and ask for a back-off; 0: it accepts requests again
     void setBackOff(const std::string& id, core::Duration backOff)
     {
         m_servers.at(id)->model.backOff = backOff;
     }
 
-    /// \brief Let a server end at once, by itself; another one takes its place
+    /// \brief End a server at once, not caused by a request; another one replaces it after a delay
     void crashServer(const std::string& id)
     {
         endServer(*m_servers.at(id), nullptr);
     }
 
-    /// \brief Let a server end at once and start again under its id
+    /// \brief End a server at once and start it again under the same id after a delay
     void restartServer(const std::string& id, core::Duration after)
     {
         Server& server = *m_servers.at(id);
-        loseAll(server, nullptr);
-        at(m_now + after,
-           [this, &server]
-           {
-               server.ended = false;
-               server.model.joined = m_now;
-               ++server.born;
-               declareAnew();
-           });
-    }
-
-    /// \brief Let a caller send a request that ends the servers that run it, again and again
+        loseRequests(server, nullptr);
+        schedule(m_now + after,
+                 [this, &server]
+                 {
+                     server.ended = false;
+                     server.model.joined = m_now;
+                     ++server.born;
+                     redeclare();
+                 });
+    }
+
+    /// \brief Send a request that ends the servers that run it, repeatedly from one caller
     ///
-    /// \param kind  Of the request
-    /// \param every From one series of tries to the next
-    /// \param moves The caller has another address each time
-    std::size_t sendCulprit(std::size_t kind, core::Duration every, bool moves)
+    /// \param kind        Index of the kind of request
+    /// \param every       Time between the starts of two series of tries
+    /// \param movesCaller Whether the caller has another address in each series
+    ///
+    /// \return Index for `culprit`
+    std::size_t sendCulprit(std::size_t kind, core::Duration every, bool movesCaller)
     {
         m_culprits.emplace_back();
         const std::size_t index = m_culprits.size() - 1;
-        comeAgain(kind, every, moves, index);
+        repeatCulprit(kind, every, movesCaller, index);
         return index;
     }
 
@@ -154,11 +156,11 @@
     {
         return m_culprits[index];
     }
-    [[nodiscard]] std::size_t wronglyRefused() const //!< Other requests that were refused as ending servers
+    [[nodiscard]] std::size_t wronglyRefused() const //!< Harmless requests that were refused as ending servers
     {
         return m_wronglyRefused;
     }
-    [[nodiscard]] std::vector<std::string> runningServers() const //!< Servers that run
+    [[nodiscard]] std::vector<std::string> runningServers() const //!< Ids of the servers that run
     {
         std::vector<std::string> ids;
         for (const auto& [id, server] : m_servers)
@@ -169,12 +171,12 @@
         return ids;
     }
 
-    /// \brief Forget what was counted so far
+    /// \brief Reset the tallies and the list of tries
     void beginCount()
     {
         m_tallies.assign(m_kinds.size(), {});
         m_tries.clear();
-        m_countFrom = m_now;
+        m_countSince = m_now;
     }
 
     void setRate(std::size_t kind, double perSecond)
@@ -194,11 +196,11 @@
     {
         return m_tries;
     }
-    [[nodiscard]] std::size_t maxPerSecondAtCold() const //!< Requests that one cold server got within a second
+    [[nodiscard]] std::size_t maxPerSecondAtCold() const //!< Most requests that one cold server got within a second
     {
         return m_maxPerSecondAtCold;
     }
-    [[nodiscard]] std::size_t totalAtCold() const //!< Requests that cold servers got
+    [[nodiscard]] std::size_t totalAtCold() const //!< All requests that cold servers got
     {
         return m_totalAtCold;
     }
@@ -224,7 +226,7 @@
     {
         core::Timestamp       at{};
         std::uint64_t         number{0};
-        std::function<void()> work;
+        std::function<void()> action;
 
         bool operator<(const Event& other) const
         {
@@ -242,11 +244,11 @@
         core::Timestamp deadline{};
         bool            running{false};
         bool            dropped{false};
-        bool            reached{false}; //!< Its server
+        bool            reached{false}; //!< It has arrived at its server
 
-        std::shared_ptr<const deployment::Instance> instance; //!< That it was sent to
+        std::shared_ptr<const deployment::Instance> instance; //!< Instance that it was sent to
         deployment::RequestIdentity                 identity;
-        std::optional<std::size_t>                  culprit; //!< It ends its server
+        std::optional<std::size_t>                  culprit; //!< Index of the culprit if it ends its server
     };
 
     struct Server
@@ -254,19 +256,19 @@
         ModelServer                       model;
         bool                              gone{false};
         std::uint64_t                     born{1};
-        bool                              ended{false}; //!< By itself; its entry may still stand
+        bool                              ended{false}; //!< It does not run any more; its entry may still exist
         std::uint64_t                     salt{0};
         unsigned                          running{0};
         std::deque<std::shared_ptr<Work>> waiting;
         std::size_t                       arrivals{0};
-        std::deque<core::Timestamp>       coldArrivals; //!< In the last second
+        std::deque<core::Timestamp>       coldArrivals; //!< Arrivals within the last second while cold
         core::Timestamp                   firstArrival{core::Timestamp::max()};
         ModelLimited                      limited;
         ModelNoticed                      noticed;
     };
 
-    /// \brief What relays know of a limited server
-    struct LimitWord
+    /// \brief What relays hold about a limited server
+    struct LimitReport
     {
         double          perSecond{0};
         core::Timestamp at{};
@@ -275,7 +277,7 @@
 
     struct Connections
     {
-        std::vector<core::Timestamp> idle; //!< Since when
+        std::vector<core::Timestamp> idle; //!< When each connection became idle
         unsigned                     busy{0};
     };
 
@@ -286,11 +288,11 @@
         core::Timestamp first{};
         unsigned        tries{0};
         double          workMs{0};
-        std::size_t     tryAt{0};
-        std::uint64_t   countedIn{0};
+        std::size_t     tryIndex{0};
+        std::uint64_t   countedSince{0};
 
         deployment::RequestIdentity identity;
-        std::optional<std::size_t>  culprit; //!< It ends servers
+        std::optional<std::size_t>  culprit; //!< Index of the culprit if it ends servers
     };
 
     struct Node
@@ -301,13 +303,13 @@
         std::map<std::string, Connections>                                    connections;
         std::map<std::pair<balance::Ticket, unsigned>, std::shared_ptr<Work>> sent;
         std::map<balance::Ticket, Call>                                       calls;
-        std::set<std::pair<balance::Ticket, unsigned>>                        failed; //!< Answers that are no success
-        core::Timestamp                                                       wake{core::Timestamp::max()};
+        std::set<std::pair<balance::Ticket, unsigned>> failed; //!< Attempts that were answered without success
+        core::Timestamp                                wakeAt{core::Timestamp::max()};
     };
 
-    void at(core::Timestamp time, std::function<void()> work)
+    void schedule(core::Timestamp time, std::function<void()> action)
     {
-        m_events.push({time, ++m_number, std::move(work)});
+        m_events.push({time, ++m_eventCount, std::move(action)});
     }
 
     void addServer(ModelServer model)
@@ -357,18 +359,18 @@
         }
     }
 
-    void declareAnew()
+    void redeclare()
     {
         declare();
         for (Node& node : m_nodes)
         {
-            node.balancer->configure(declaredTo(node), m_now);
-            take(node);
+            node.balancer->configure(declaredFor(node), m_now);
+            runSteps(node);
         }
     }
 
-    /// \brief What is declared, with the members that a node knows
-    [[nodiscard]] deployment::Declared declaredTo(const Node& node) const
+    /// \brief Return the declared configuration, with the members that a node knows
+    [[nodiscard]] deployment::Declared declaredFor(const Node& node) const
     {
         deployment::Declared declared = m_declared;
         for (std::uint32_t member = 0; member < m_settings.nodes; ++member)
@@ -406,30 +408,31 @@
         settings.self = memberHash(node.index);
         settings.seed = m_random.below(1'000'000'000);
         node.balancer = std::make_unique<balance::Balancer>(settings, m_now);
-        node.balancer->configure(declaredTo(node), m_now);
+        node.balancer->configure(declaredFor(node), m_now);
     }
 
     void nextArrival(std::size_t kind)
     {
         const double gapMs = m_random.exponential(1000 / m_kinds[kind].perSecond);
-        at(m_now + core::fromMilliseconds(gapMs),
-           [this, kind]
-           {
-               Call call;
-               call.kind = kind;
-               call.first = m_now;
-               call.patience = m_kinds[kind].patience;
-               if (m_kinds[kind].patienceSpread > 0)
-                   call.patience -= core::fromMilliseconds(core::toMilliseconds(call.patience) *
-                                                           m_kinds[kind].patienceSpread * m_random.unit());
-               call.workMs = m_kinds[kind].workMs * std::exp(0.3 * gauss() - 0.045);
-               call.countedIn = static_cast<std::uint64_t>(m_countFrom.time_since_epoch().count());
-               ++m_contents;
-               call.identity = identityOf("request " + std::to_string(m_contents), m_contents % callers);
-               ++m_tallies[kind].requests;
-               attempt(call);
-               nextArrival(kind);
-           });
+        schedule(m_now + core::fromMilliseconds(gapMs),
+                 [this, kind]
+                 {
+                     Call call;
+                     call.kind = kind;
+                     call.first = m_now;
+                     call.patience = m_kinds[kind].patience;
+                     if (m_kinds[kind].patienceSpread > 0)
+                         call.patience -= core::fromMilliseconds(core::toMilliseconds(call.patience) *
+                                                                 m_kinds[kind].patienceSpread * m_random.unit());
+                     call.workMs = m_kinds[kind].workMs * std::exp(0.3 * standardNormal() - 0.045);
+                     call.countedSince = static_cast<std::uint64_t>(m_countSince.time_since_epoch().count());
+                     ++m_contentCount;
+                     call.identity =
+                         identityOf("request " + std::to_string(m_contentCount), m_contentCount % callerAddresses);
+                     ++m_tallies[kind].requests;
+                     startTry(call);
+                     nextArrival(kind);
+                 });
     }
 
     static deployment::RequestIdentity identityOf(const std::string& text, std::size_t caller)
@@ -438,30 +441,32 @@
         return {core::contentHash(content), static_cast<std::uint32_t>(caller)};
     }
 
-    void comeAgain(std::size_t kind, core::Duration every, bool moves, std::size_t index)
+    void repeatCulprit(std::size_t kind, core::Duration every, bool movesCaller, std::size_t index)
     {
         Call call;
         call.kind = kind;
         call.first = m_now;
         call.patience = m_kinds[kind].patience;
         call.workMs = m_kinds[kind].workMs;
-        call.identity = identityOf("culprit " + std::to_string(index), callers + (moves ? m_random.below(callers) : 0));
+        call.identity = identityOf("culprit " + std::to_string(index),
+                                   callerAddresses + (movesCaller ? m_random.below(callerAddresses) : 0));
         call.culprit = index;
-        attempt(call);
-        at(m_now + every, [this, kind, every, moves, index] { comeAgain(kind, every, moves, index); });
+        startTry(call);
+        schedule(m_now + every,
+                 [this, kind, every, movesCaller, index] { repeatCulprit(kind, every, movesCaller, index); });
     }
 
-    /// \brief A server ends with all that it works on
+    /// \brief End a server with all requests that it runs, and schedule its replacement
     void endServer(Server& server, const Work* cause)
     {
-        loseAll(server, cause);
-        at(m_now + m_settings.entryLifetime, [this, id = server.model.id] { removeServer(id); });
+        loseRequests(server, cause);
+        schedule(m_now + m_settings.entryLifetime, [this, id = server.model.id] { removeServer(id); });
         ModelServer next = server.model;
-        next.id = "again-" + std::to_string(++m_contents);
-        at(m_now + m_settings.replacementDelay, [this, next] { join(next); });
+        next.id = "again-" + std::to_string(++m_contentCount);
+        schedule(m_now + m_settings.replacementDelay, [this, next] { join(next); });
     }
 
-    void loseAll(Server& server, const Work* cause)
+    void loseRequests(Server& server, const Work* cause)
     {
         server.ended = true;
         server.running = 0;
@@ -469,7 +474,7 @@
         for (Node& node : m_nodes)
         {
             node.connections[server.model.id].idle.clear();
-            tell(node, server, node.connections[server.model.id]);
+            reportConnections(node, server, node.connections[server.model.id]);
             std::vector<std::shared_ptr<Work>> lost;
             for (const auto& [key, work] : node.sent)
             {
@@ -486,39 +491,39 @@
         }
     }
 
-    void tellLimits(Node& node)
+    void sendLimitReports(Node& node)
     {
         std::vector<deployment::LimitNews> news = node.balancer->takeLimitNews();
         if (news.empty() || m_settings.reportDelay.count() == 0)
             return;
         for (const deployment::LimitNews& one : news)
-            m_limitWords[one.server] = {one.perSecond, m_now - one.ago, one.doublings};
+            m_limitReports[one.server] = {one.perSecond, m_now - one.ago, one.doublings};
         for (Node& other : m_nodes)
         {
             if (other.index == node.index)
                 continue;
             const double way = core::toMilliseconds(m_settings.reportDelay) * (0.25 + 0.75 * m_random.unit());
-            at(m_now + core::fromMilliseconds(way),
-               [this, &other, news]
-               {
-                   other.balancer->heardLimits(news, m_now);
-                   take(other);
-               });
+            schedule(m_now + core::fromMilliseconds(way),
+                     [this, &other, news]
+                     {
+                         other.balancer->heardLimits(news, m_now);
+                         runSteps(other);
+                     });
         }
     }
 
-    /// \brief Let a new life hear, with its first copy, what is known of limited servers
-    void hearOfLimits(Node& node)
+    /// \brief Pass a restarted node the limits that relays hold, as it gets them with its first copy
+    void receiveLimitReports(Node& node)
     {
         std::vector<deployment::LimitNews> news;
-        for (const auto& [server, word] : m_limitWords)
-            news.push_back({0, server, word.perSecond, m_now - word.at, 0, word.doublings});
+        for (const auto& [server, report] : m_limitReports)
+            news.push_back({0, server, report.perSecond, m_now - report.at, 0, report.doublings});
         node.balancer->heardLimits(news, m_now);
     }
 
-    void tellNews(Node& node)
+    void sendReports(Node& node)
     {
-        tellLimits(node);
+        sendLimitReports(node);
         deployment::CrashNews news = node.balancer->takeCrashNews();
         if (news.empty() || m_settings.reportDelay.count() == 0)
             return;
@@ -529,29 +534,29 @@
             if (other.index == node.index)
                 continue;
             const double way = core::toMilliseconds(m_settings.reportDelay) * (0.25 + 0.75 * m_random.unit());
-            at(m_now + core::fromMilliseconds(way),
-               [this, &other, news]
-               {
-                   other.balancer->heardCrashes(news, m_now);
-                   take(other);
-               });
+            schedule(m_now + core::fromMilliseconds(way),
+                     [this, &other, news]
+                     {
+                         other.balancer->heardCrashes(news, m_now);
+                         runSteps(other);
+                     });
         }
     }
 
     void check(Node& node, const balance::Step& step)
     {
         Server& server = *m_servers.at(step.instance->id);
-        at(m_now + 2 * trip(node, server),
-           [this, &node, &server, instance = step.instance]
-           {
-               const bool refuses = server.ended || server.gone;
-               node.balancer->checked(*instance,
-                                      refuses ? balance::CheckResult::Refuses : balance::CheckResult::Accepts, m_now);
-               take(node);
-           });
+        schedule(m_now + 2 * trip(node, server),
+                 [this, &node, &server, instance = step.instance]
+                 {
+                     const bool refuses = server.ended || server.gone;
+                     node.balancer->checked(
+                         *instance, refuses ? balance::CheckResult::Refuses : balance::CheckResult::Accepts, m_now);
+                     runSteps(node);
+                 });
     }
 
-    double gauss()
+    double standardNormal()
     {
         double sum = -6;
         for (int i = 0; i < 12; ++i)
@@ -559,19 +564,19 @@
         return sum;
     }
 
-    void attempt(Call call)
+    void startTry(Call call)
     {
         const bool        first = m_settings.firstNodeShare > 0 && m_random.unit() < m_settings.firstNodeShare;
         const std::size_t node = first ? 0 : m_random.below(m_nodes.size());
-        at(m_now + m_settings.clientTrip, [this, call, node] { arrive(m_nodes[node], call); });
+        schedule(m_now + m_settings.clientTrip, [this, call, node] { arriveAtNode(m_nodes[node], call); });
     }
 
-    void arrive(Node& node, Call call)
+    void arriveAtNode(Node& node, Call call)
     {
         const KindOfRequest&  kind = m_kinds[call.kind];
         const balance::Ticket ticket = ++m_ticket;
         const auto            target = "/" + kind.name + "/1";
-        call.tryAt = m_tries.size();
+        call.tryIndex = m_tries.size();
         m_tries.push_back({call.kind, m_now, {}, call.tries > 0, false});
         ++call.tries;
         node.calls[ticket] = call;
@@ -579,10 +584,10 @@
         if (m_settings.passesIdentity && node.balancer->looksUpRequests())
             arrival.identity = call.identity;
         node.balancer->admit(ticket, arrival, m_now);
-        take(node);
+        runSteps(node);
     }
 
-    void finished(Node& node, balance::Ticket ticket, bool success, const balance::Refusal* refusal)
+    void finishCall(Node& node, balance::Ticket ticket, bool success, const balance::Refusal* refusal)
     {
         const auto found = node.calls.find(ticket);
         if (found == node.calls.end())
@@ -590,28 +595,28 @@
         Call call = found->second;
         node.calls.erase(found);
         const KindOfRequest& kind = m_kinds[call.kind];
-        const auto           heard = m_now + m_settings.clientTrip;
-        const bool counts = call.countedIn == static_cast<std::uint64_t>(m_countFrom.time_since_epoch().count());
+        const auto           receivedAt = m_now + m_settings.clientTrip;
+        const bool counts = call.countedSince == static_cast<std::uint64_t>(m_countSince.time_since_epoch().count());
         if (refusal != nullptr && refusal->reason == balance::RefusalReason::EndsServers && !call.culprit)
             ++m_wronglyRefused;
         if (success)
         {
-            if (counts && heard <= call.first + call.patience)
+            if (counts && receivedAt <= call.first + call.patience)
                 ++m_tallies[call.kind].served;
-            if (counts && heard <= call.first + kind.target)
+            if (counts && receivedAt <= call.first + kind.target)
                 ++m_tallies[call.kind].inTarget;
             return;
         }
-        const bool promised = refusal != nullptr && !refusal->mayHaveRun;
-        if (call.tries > kind.retries || (!promised && !kind.repeatable))
+        const bool notRun = refusal != nullptr && !refusal->mayHaveRun;
+        if (call.tries > kind.retries || (!notRun && !kind.repeatable))
             return;
-        const core::Duration left = call.first + call.patience - heard;
+        const core::Duration left = call.first + call.patience - receivedAt;
         const core::Duration wait = refusal != nullptr ? std::min(refusal->comeBack, left / 3) : core::Duration{};
         if (left.count() > 0)
-            at(heard + wait, [this, call] { attempt(call); });
+            schedule(receivedAt + wait, [this, call] { startTry(call); });
     }
 
-    void take(Node& node)
+    void runSteps(Node& node)
     {
         std::vector<balance::Step> steps;
         node.balancer->takeSteps(steps);
@@ -632,26 +637,26 @@
                 check(node, step);
                 break;
             case balance::StepKind::Answer:
-                finished(node, step.ticket, node.failed.erase({step.ticket, step.attempt}) == 0, nullptr);
+                finishCall(node, step.ticket, node.failed.erase({step.ticket, step.attempt}) == 0, nullptr);
                 break;
             case balance::StepKind::Refuse:
-                finished(node, step.ticket, false, &step.refusal);
+                finishCall(node, step.ticket, false, &step.refusal);
                 break;
             }
         }
-        tellNews(node);
+        sendReports(node);
         const auto due = node.balancer->nextDue();
-        if (due && *due < node.wake)
+        if (due && *due < node.wakeAt)
         {
-            node.wake = std::max(*due, m_now);
-            at(node.wake,
-               [this, &node, wake = node.wake]
-               {
-                   if (node.wake == wake)
-                       node.wake = core::Timestamp::max();
-                   node.balancer->due(m_now);
-                   take(node);
-               });
+            node.wakeAt = std::max(*due, m_now);
+            schedule(node.wakeAt,
+                     [this, &node, wakeAt = node.wakeAt]
+                     {
+                         if (node.wakeAt == wakeAt)
+                             node.wakeAt = core::Timestamp::max();
+                         node.balancer->due(m_now);
+                         runSteps(node);
+                     });
         }
     }
 
@@ -660,7 +665,7 @@
         return node.dataCentre == server.model.dataCentre ? m_settings.nearTrip : m_settings.farTrip;
     }
 
-    /// \brief Take a connection to a server; the time until a request sent on it arrives
+    /// \brief Take a connection to a server, and return the time until a request sent on it arrives
     core::Duration connect(Node& node, const Server& server)
     {
         Connections& list = node.connections[server.model.id];
@@ -671,7 +676,7 @@
         else
             list.idle.pop_back();
         ++list.busy;
-        tell(node, server, list);
+        reportConnections(node, server, list);
         return time;
     }
 
@@ -683,14 +688,14 @@
         if (keep)
         {
             list.idle.push_back(m_now);
-            at(m_now + m_settings.idleTimeout,
-               [this, &node, &server, &list]
-               {
-                   prune(list);
-                   tell(node, server, list);
-               });
+            schedule(m_now + m_settings.idleTimeout,
+                     [this, &node, &server, &list]
+                     {
+                         prune(list);
+                         reportConnections(node, server, list);
+                     });
         }
-        tell(node, server, list);
+        reportConnections(node, server, list);
     }
 
     void prune(Connections& list) const
@@ -698,7 +703,7 @@
         std::erase_if(list.idle, [this](core::Timestamp since) { return since + m_settings.idleTimeout <= m_now; });
     }
 
-    void tell(Node& node, const Server& server, const Connections& list)
+    void reportConnections(Node& node, const Server& server, const Connections& list)
     {
         const auto idle = static_cast<unsigned>(list.idle.size());
         for (const auto& instance : m_declared.instances)
@@ -718,8 +723,8 @@
         return isCold(server, m_now) ? server.model.joined + m_settings.coldTime - m_now : core::Duration{};
     }
 
-    /// \brief Count what a cold server got within a second
-    void countCold(Server& server)
+    /// \brief Count an arrival at a cold server
+    void countColdArrival(Server& server)
     {
         if (!isCold(server, m_now))
             return;
@@ -748,7 +753,7 @@
                (isCold(server, when) ? m_settings.coldPace : 1.0);
     }
 
-    /// \brief When work that begins now is done, with the pace changing under way
+    /// \brief Return when work that starts now is done, with the pace changing while it runs
     [[nodiscard]] core::Timestamp endOf(const Server& server, double workMs) const
     {
         if (m_settings.paceHolds)
@@ -770,43 +775,46 @@
     void probe(Node& node, const balance::Step& step)
     {
         Server&    server = *m_servers.at(step.instance->id);
-        const auto there = m_now + connect(node, server);
-        at(there + std::chrono::milliseconds{1},
-           [this, &node, &server, ticket = step.ticket, number = step.attempt, instance = step.instance]
-           {
-               const auto load = loadOf(server);
-               const bool leaving = server.model.leaving;
-               at(m_now + trip(node, server),
-                  [this, &node, &server, ticket, number, load, leaving, instance]
-                  {
-                      if (leaving)
-                          node.balancer->noticed(instance, {true, {}}, balance::NoticeSource::HealthAnswer, m_now);
-                      const bool refused = server.ended;
-                      release(node, server, !refused);
-                      balance::Outcome outcome;
-                      outcome.end = refused ? balance::AttemptEnd::NotSent : balance::AttemptEnd::Answered;
-                      if (!refused)
-                      {
-                          outcome.status = 200;
-                          outcome.load = load;
-                          outcome.warmUp = coldFor(server);
-                      }
-                      node.balancer->probed(ticket, number, outcome, m_now);
-                      take(node);
-                  });
-           });
+        const auto arrivesAt = m_now + connect(node, server);
+        schedule(
+            arrivesAt + std::chrono::milliseconds{1},
+            [this, &node, &server, ticket = step.ticket, number = step.attempt, instance = step.instance]
+            {
+                const auto load = loadOf(server);
+                const bool leaving = server.model.leaving;
+                schedule(
+                    m_now + trip(node, server),
+                    [this, &node, &server, ticket, number, load, leaving, instance]
+                    {
+                        if (leaving)
+                            node.balancer->noticed(instance, {true, {}}, balance::NoticeSource::HealthAnswer, m_now);
+                        const bool refused = server.ended;
+                        release(node, server, !refused);
+                        balance::Outcome outcome;
+                        outcome.end = refused ? balance::AttemptEnd::NotSent : balance::AttemptEnd::Answered;
+                        if (!refused)
+                        {
+                            outcome.status = 200;
+                            outcome.load = load;
+                            outcome.warmUp = coldFor(server);
+                        }
+                        node.balancer->probed(ticket, number, outcome, m_now);
+                        runSteps(node);
+                    });
+            });
     }
 
     void forward(Node& node, const balance::Step& step)
     {
         Server&    server = *m_servers.at(step.instance->id);
         const auto call = node.calls.find(step.ticket);
-        if (call != node.calls.end() && call->second.tryAt < m_tries.size())
+        if (call != node.calls.end() && call->second.tryIndex < m_tries.size())
         {
-            Try& made = m_tries[call->second.tryAt];
-            made.moved = made.moved || (!made.firstService.empty() && made.firstService != server.model.service);
-            if (made.firstService.empty())
-                made.firstService = server.model.service;
+            Try& thisTry = m_tries[call->second.tryIndex];
+            thisTry.moved =
+                thisTry.moved || (!thisTry.firstService.empty() && thisTry.firstService != server.model.service);
+            if (thisTry.firstService.empty())
+                thisTry.firstService = server.model.service;
         }
         auto work = std::make_shared<Work>();
         work->node = node.index;
@@ -822,10 +830,10 @@
             work->culprit = call->second.culprit;
         }
         node.sent[{step.ticket, step.attempt}] = work;
-        at(m_now + connect(node, server), [this, &server, work] { reach(server, work); });
+        schedule(m_now + connect(node, server), [this, &server, work] { arriveAtServer(server, work); });
     }
 
-    void reach(Server& server, const std::shared_ptr<Work>& work)
+    void arriveAtServer(Server& server, const std::shared_ptr<Work>& work)
     {
         if (work->dropped)
             return;
@@ -838,42 +846,42 @@
         server.limited.arrivals.push_back(m_now);
         server.noticed.arrivals.emplace_back(work->node, m_now);
         server.limited.senders.push_back(work->node);
-        countCold(server);
+        countColdArrival(server);
         server.firstArrival = std::min(server.firstArrival, m_now);
         if (server.model.failing || server.gone)
             return answer(server, work, balance::AttemptEnd::Lost, 0);
         if (server.model.backOff.count() > 0)
             return answer(server, work, balance::AttemptEnd::NotRun, 503);
         if (server.running < server.model.slots)
-            return begin(server, work);
+            return startWork(server, work);
         if (server.waiting.size() >= server.model.queue)
             return answer(server, work, balance::AttemptEnd::NotRun, 503);
         server.waiting.push_back(work);
     }
 
-    void begin(Server& server, const std::shared_ptr<Work>& work)
+    void startWork(Server& server, const std::shared_ptr<Work>& work)
     {
         ++server.running;
         work->running = true;
-        const bool crowded = server.running > m_settings.knee * server.model.slots;
-        const auto done = endOf(server, work->workMs * (crowded ? m_settings.kneePace : 1));
+        const bool aboveKnee = server.running > m_settings.knee * server.model.slots;
+        const auto done = endOf(server, work->workMs * (aboveKnee ? m_settings.kneePace : 1));
         const bool inTime = done <= work->deadline;
-        at(inTime ? done : std::max(m_now, work->deadline),
-           [this, &server, work, inTime]
-           {
-               if (work->dropped)
-                   return;
-               if (work->culprit && inTime)
-               {
-                   m_culprits[*work->culprit].ends.push_back(m_now);
-                   return endServer(server, work.get());
-               }
-               leave(server, work);
-               answer(server, work, balance::AttemptEnd::Answered, inTime ? 200 : 504);
-           });
-    }
-
-    void leave(Server& server, const std::shared_ptr<Work>& work)
+        schedule(inTime ? done : std::max(m_now, work->deadline),
+                 [this, &server, work, inTime]
+                 {
+                     if (work->dropped)
+                         return;
+                     if (work->culprit && inTime)
+                     {
+                         m_culprits[*work->culprit].ends.push_back(m_now);
+                         return endServer(server, work.get());
+                     }
+                     freeSlot(server, work);
+                     answer(server, work, balance::AttemptEnd::Answered, inTime ? 200 : 504);
+                 });
+    }
+
+    void freeSlot(Server& server, const std::shared_ptr<Work>& work)
     {
         work->running = false;
         --server.running;
@@ -884,7 +892,7 @@
             if (next->deadline <= m_now)
                 answer(server, next, balance::AttemptEnd::NotRun, 503);
             else
-                begin(server, next);
+                startWork(server, next);
         }
     }
 
@@ -895,47 +903,47 @@
         const auto load = loadOf(server);
         const auto limit = server.model.limit;
         const auto notice = noticeOf(server, *work, end);
-        at(m_now + trip(node, server),
-           [this, &node, &server, work, end, status, load, limit, notice, serverEnded]
-           {
-               if (!notice.empty())
-                   node.balancer->noticed(work->instance, notice, balance::NoticeSource::Answer, m_now);
-               if (notice.leaving)
-                   server.noticed.leavingReportedAt.emplace(node.index, m_now);
-               if (node.sent.erase({work->ticket, work->attempt}) == 0)
-                   return;
-               const bool answered = end == balance::AttemptEnd::Answered || end == balance::AttemptEnd::NotRun;
-               release(node, server, answered);
-               balance::Outcome outcome;
-               outcome.end = end;
-               outcome.status = status;
-               outcome.connectionEnded = serverEnded;
-               if (m_settings.passesIdentity && (serverEnded || node.balancer->looksUpRequests()))
-                   outcome.identity = work->identity;
-               if (answered)
-                   outcome.load = load;
-               if (answered)
-                   outcome.limit = limit.value_or(balance::unlimited);
-               if (answered && limit && !server.limited.limitReportedAt)
-                   server.limited.limitReportedAt = m_now;
-               if (answered && limit)
-                   server.limited.informedAt.emplace(node.index, m_now);
-               if (end == balance::AttemptEnd::Answered && status >= 500)
-                   node.failed.insert({work->ticket, work->attempt});
-               node.balancer->attemptEnded(work->ticket, work->attempt, outcome, m_now);
-               take(node);
-           });
-    }
-
-    /// \brief What an answer that a server gives now says of the requests that it wants
+        schedule(m_now + trip(node, server),
+                 [this, &node, &server, work, end, status, load, limit, notice, serverEnded]
+                 {
+                     if (!notice.empty())
+                         node.balancer->noticed(work->instance, notice, balance::NoticeSource::Answer, m_now);
+                     if (notice.leaving)
+                         server.noticed.leavingReportedAt.emplace(node.index, m_now);
+                     if (node.sent.erase({work->ticket, work->attempt}) == 0)
+                         return;
+                     const bool answered = end == balance::AttemptEnd::Answered || end == balance::AttemptEnd::NotRun;
+                     release(node, server, answered);
+                     balance::Outcome outcome;
+                     outcome.end = end;
+                     outcome.status = status;
+                     outcome.connectionEnded = serverEnded;
+                     if (m_settings.passesIdentity && (serverEnded || node.balancer->looksUpRequests()))
+                         outcome.identity = work->identity;
+                     if (answered)
+                         outcome.load = load;
+                     if (answered)
+                         outcome.limit = limit.value_or(balance::unlimited);
+                     if (answered && limit && !server.limited.limitReportedAt)
+                         server.limited.limitReportedAt = m_now;
+                     if (answered && limit)
+                         server.limited.informedAt.emplace(node.index, m_now);
+                     if (end == balance::AttemptEnd::Answered && status >= 500)
+                         node.failed.insert({work->ticket, work->attempt});
+                     node.balancer->attemptEnded(work->ticket, work->attempt, outcome, m_now);
+                     runSteps(node);
+                 });
+    }
+
+    /// \brief Return the notice on an answer that a server gives now
     balance::ServerNotice noticeOf(Server& server, const Work& work, balance::AttemptEnd end)
     {
         if (end != balance::AttemptEnd::Answered && end != balance::AttemptEnd::NotRun)
             return {};
-        const bool turnsAway = end == balance::AttemptEnd::NotRun && server.model.backOff.count() > 0;
-        if (turnsAway)
+        const bool rejects = end == balance::AttemptEnd::NotRun && server.model.backOff.count() > 0;
+        if (rejects)
             server.noticed.backOffs.push_back({work.node, m_now, server.model.backOff});
-        return {server.model.leaving, turnsAway ? server.model.backOff : core::Duration{}};
+        return {server.model.leaving, rejects ? server.model.backOff : core::Duration{}};
     }
 
     void abandon(Node& node, const balance::Step& step)
@@ -956,10 +964,10 @@
         work->dropped = true;
         std::erase(server.waiting, work);
         if (running)
-            leave(server, work);
+            freeSlot(server, work);
     }
 
-    static constexpr std::size_t callers = 300; //!< Addresses of them
+    static constexpr std::size_t callerAddresses = 300; //!< Number of addresses that ordinary callers use
 
     ModelSettings                                  m_settings;
     std::vector<KindOfRequest>                     m_kinds;
@@ -971,15 +979,15 @@
     std::priority_queue<Event>                     m_events;
     std::vector<Tally>                             m_tallies;
     std::vector<Try>                               m_tries;
-    core::Timestamp                                m_countFrom{};
+    core::Timestamp                                m_countSince{};
     std::size_t                                    m_maxPerSecondAtCold{0};
     std::size_t                                    m_totalAtCold{0};
     balance::Ticket                                m_ticket{0};
-    std::uint64_t                                  m_number{0};
+    std::uint64_t                                  m_eventCount{0};
     std::deque<ModelCulprit>                       m_culprits;
     std::size_t                                    m_wronglyRefused{0};
-    std::map<std::uint32_t, LimitWord>             m_limitWords; //!< Told last, by hash of the server's life
-    std::uint64_t                                  m_contents{0};
+    std::map<std::uint32_t, LimitReport>           m_limitReports; //!< Last report, by `lifeHash` of the server
+    std::uint64_t                                  m_contentCount{0};
 };
 
 } // namespace sailpath::support
