--- a/test/balance/quotas/Fleet.test.cpp
+++ b/test/balance/quotas/Fleet.test.cpp
@@ -12,101 +12,102 @@
 
 BOOST_AUTO_TEST_SUITE(WorkspaceQuotasFleetTest)
 
-BOOST_AUTO_TEST_CASE(TheQuotaIsKeptAndUsedWhateverItsSizeAndTheNumberOfNodes)
+BOOST_AUTO_TEST_CASE(QuotaIsKeptAndUsedForAllSizesAndNumbersOfNodes)
 {
     for (const unsigned nodes : {13U, 107U, 984U})
     {
         for (const double perSecond : {2.0, 30.0, 327.0, 2000.0})
         {
-            const Seen seen = play({nodes, nodes, perSecond, perSecond});
-            BOOST_TEST(seen.most <= 1.0);
-            BOOST_TEST(seen.served >= 0.99);
-            BOOST_TEST(seen.used >= 0.9);
+            const Result result = simulate({nodes, nodes, perSecond, perSecond});
+            BOOST_TEST(result.worstWindow <= 1.0);
+            BOOST_TEST(result.servedShare >= 0.99);
+            BOOST_TEST(result.usedShare >= 0.9);
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(TheQuotaIsKeptAndUsedWhereAllCallersComeToOneNodeOrAFew)
+BOOST_AUTO_TEST_CASE(QuotaIsKeptAndUsedWhenCallersUseOneNodeOrAFew)
 {
     for (const unsigned used : {1U, 5U})
     {
-        const Seen seen = play({107, used, 327, 327});
-        BOOST_TEST(seen.most <= 1.0);
-        BOOST_TEST(seen.served >= 0.99);
-        BOOST_TEST(seen.used >= 0.9);
+        const Result result = simulate({107, used, 327, 327});
+        BOOST_TEST(result.worstWindow <= 1.0);
+        BOOST_TEST(result.servedShare >= 0.99);
+        BOOST_TEST(result.usedShare >= 0.9);
     }
 }
 
-BOOST_AUTO_TEST_CASE(ADemandOfTenTimesTheQuotaIsHeld)
+BOOST_AUTO_TEST_CASE(QuotaIsKeptUnderADemandOfTenTimesTheQuota)
 {
     Load load{107, 107, 327, 327};
-    load.pressing = 10;
-    BOOST_TEST(play(load).most <= 1.0);
+    load.overloadFactor = 10;
+    BOOST_TEST(simulate(load).worstWindow <= 1.0);
 }
 
-BOOST_AUTO_TEST_CASE(NewsThatTakeAFourthOfASecondKeepTheQuota)
+BOOST_AUTO_TEST_CASE(QuotaIsKeptWithReportsDelayedByAQuarterOfASecond)
 {
     for (const unsigned nodes : {13U, 107U, 984U})
     {
         Load load{nodes, nodes, 327, 327};
-        load.newsWay = 250ms;
-        BOOST_TEST(play(load).most <= 1.0);
+        load.reportDelay = 250ms;
+        BOOST_TEST(simulate(load).worstWindow <= 1.0);
     }
 }
 
-BOOST_AUTO_TEST_CASE(AQuotaWithoutABurstIsKeptAndServesWhatIsBelowIt)
+BOOST_AUTO_TEST_CASE(QuotaWithoutABurstIsKeptAndServesDemandBelowIt)
 {
-    const Seen seen = play({107, 107, 30, 0});
-    BOOST_TEST(seen.most <= 1.0);
-    BOOST_TEST(seen.served >= 0.9);
+    const Result result = simulate({107, 107, 30, 0});
+    BOOST_TEST(result.worstWindow <= 1.0);
+    BOOST_TEST(result.servedShare >= 0.9);
 }
 
-BOOST_AUTO_TEST_CASE(LivesThatBeginHaveNothingSavedUp)
+BOOST_AUTO_TEST_CASE(RestartedNodesHaveNothingSavedUp)
 {
     const Load load{107, 107, 327, 327};
     Fleet      fleet(load);
     fleet.run(5s, 5 * load.perSecond);
     for (unsigned i = 0; i < load.nodes; ++i)
-        fleet.restart(i);
+        fleet.restartNode(i);
     fleet.run(6s, 5 * load.perSecond);
-    BOOST_TEST(static_cast<double>(fleet.mostIn(window, start)) <= borne(load.perSecond, load.burst));
+    BOOST_TEST(static_cast<double>(fleet.maxInSpan(window, start)) <= toleratedRequests(load.perSecond, load.burst));
 }
 
-BOOST_AUTO_TEST_CASE(NodesThatHearNobodyKeepToTheirPart)
+BOOST_AUTO_TEST_CASE(IsolatedNodesKeepToTheirShare)
 {
     const Load load{107, 107, 327, 327};
     Fleet      fleet(load);
     fleet.run(3s, 0.6 * load.perSecond);
-    fleet.cut(load.nodes);
+    fleet.isolateNodes(load.nodes);
     fleet.run(2s, 0.6 * load.perSecond);
     const auto from = fleet.now();
     fleet.run(10s, 5 * load.perSecond);
-    BOOST_TEST(static_cast<double>(fleet.mostIn(window, from)) <= borne(load.perSecond, load.burst));
+    BOOST_TEST(static_cast<double>(fleet.maxInSpan(window, from)) <= toleratedRequests(load.perSecond, load.burst));
 }
 
-BOOST_AUTO_TEST_CASE(AFourthOfTheNodesCutOffExceedsTheQuotaByNoMoreThanItsPart)
+BOOST_AUTO_TEST_CASE(QuarterOfTheNodesIsolatedExceedsTheQuotaByAtMostItsShare)
 {
     const Load load{107, 107, 327, 327};
     Fleet      fleet(load);
     fleet.run(3s, 0.6 * load.perSecond);
-    fleet.cut(load.nodes / 4);
+    fleet.isolateNodes(load.nodes / 4);
     fleet.run(2s, 0.6 * load.perSecond);
     const auto from = fleet.now();
     fleet.run(10s, 5 * load.perSecond);
-    const double part = 0.25 * load.perSecond * core::toSeconds(window);
-    BOOST_TEST(static_cast<double>(fleet.mostIn(window, from)) <= borne(load.perSecond, load.burst) + part);
+    const double isolatedShare = 0.25 * load.perSecond * core::toSeconds(window);
+    BOOST_TEST(static_cast<double>(fleet.maxInSpan(window, from)) <=
+               toleratedRequests(load.perSecond, load.burst) + isolatedShare);
 }
 
-BOOST_AUTO_TEST_CASE(ALowerQuotaHoldsAfterOneWindow)
+BOOST_AUTO_TEST_CASE(LoweredQuotaHoldsAfterOneWindow)
 {
     const Load load{107, 107, 327, 327};
     Fleet      fleet(load);
     fleet.run(5s, 0.9 * load.perSecond);
-    fleet.lower(60, 60);
+    fleet.lowerQuota(60, 60);
     fleet.run(window, 0.9 * load.perSecond);
     const auto from = fleet.now();
     fleet.run(10s, 0.9 * load.perSecond);
-    BOOST_TEST(static_cast<double>(fleet.mostIn(window, from)) <= borne(60, 60));
+    BOOST_TEST(static_cast<double>(fleet.maxInSpan(window, from)) <= toleratedRequests(60, 60));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/balance/quotas/open/Open.test.cpp
+++ b/test/balance/quotas/open/Open.test.cpp
@@ -9,18 +9,20 @@
 using namespace std::chrono_literals;
 
 ////////////////////////////////////////////////////////////
-/// \brief Most in any window, as a part of what users bear, while so many nodes hear nobody and are heard by nobody
+/// \brief Return the most requests in any window while nodes are isolated, as a part of the tolerated ones
+///
+/// \param isolated Number of nodes that neither send nor receive reports
 ////////////////////////////////////////////////////////////
-double mostWhileCut(unsigned cut)
+double worstWindowWhileIsolated(unsigned isolated)
 {
     const Load load{107, 107, 327, 327};
     Fleet      fleet(load);
     fleet.run(3s, 0.6 * load.perSecond);
-    fleet.cut(cut);
+    fleet.isolateNodes(isolated);
     fleet.run(2s, 0.6 * load.perSecond);
     const auto from = fleet.now();
     fleet.run(10s, 5 * load.perSecond);
-    return static_cast<double>(fleet.mostIn(window, from)) / borne(load.perSecond, load.burst);
+    return static_cast<double>(fleet.maxInSpan(window, from)) / toleratedRequests(load.perSecond, load.burst);
 }
 
 } // namespace
@@ -30,32 +32,32 @@
 BOOST_AUTO_TEST_CASE(ADemandOfTwentyTimesTheQuotaIsHeld)
 {
     Load load{107, 107, 327, 327};
-    load.pressing = 20;
-    BOOST_TEST(play(load).most <= 1.0);
+    load.overloadFactor = 20;
+    BOOST_TEST(simulate(load).worstWindow <= 1.0);
 }
 
 BOOST_AUTO_TEST_CASE(NewsThatTakeHalfASecondKeepTheQuota)
 {
     Load load{107, 107, 327, 327};
-    load.newsWay = 500ms;
-    BOOST_TEST(play(load).most <= 1.0);
+    load.reportDelay = 500ms;
+    BOOST_TEST(simulate(load).worstWindow <= 1.0);
 }
 
 BOOST_AUTO_TEST_CASE(AFourthOfTheNodesCutOffKeepsTheQuota)
 {
-    BOOST_TEST(mostWhileCut(107 / 4) <= 1.0);
+    BOOST_TEST(worstWindowWhileIsolated(107 / 4) <= 1.0);
 }
 
 BOOST_AUTO_TEST_CASE(TwoHalvesOfAFleetThatIsCutKeepTheQuotaTogether)
 {
-    // Each half hears its own nodes only.
+    // Each half receives reports of its own nodes only.
     const Load load{54, 54, 327, 327};
     Fleet      half(load);
     half.run(5s, 0.3 * load.perSecond);
     const auto from = half.now();
     half.run(10s, 2.5 * load.perSecond);
-    const auto most = static_cast<double>(half.mostIn(window, from));
-    BOOST_TEST(2 * most <= borne(load.perSecond, load.burst));
+    const auto maxOfHalf = static_cast<double>(half.maxInSpan(window, from));
+    BOOST_TEST(2 * maxOfHalf <= toleratedRequests(load.perSecond, load.burst));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/support/OneRouteFixture.hpp
+++ b/test/support/OneRouteFixture.hpp
@@ -9,7 +9,7 @@
 namespace sailpath::support
 {
 ////////////////////////////////////////////////////////////
-/// \brief A node's balancer before servers of one service, which are asked for no load, with one repeatable route
+/// \brief A node's balancer with one service, whose servers have no health path, and one repeatable route
 ////////////////////////////////////////////////////////////
 struct OneRouteFixture
 {
@@ -56,7 +56,7 @@
             std::count_if(steps.begin(), steps.end(), [kind](const auto& step) { return step.kind == kind; }));
     }
 
-    /// \brief The first step of a kind; null when there is none
+    /// \brief Return the first step of a kind; null if there is none
     static const balance::Step* find(const std::vector<balance::Step>& steps, balance::StepKind kind)
     {
         const auto found =
--- a/test/support/QuotaFleet.hpp
+++ b/test/support/QuotaFleet.hpp
@@ -16,35 +16,37 @@
 inline constexpr core::Timestamp start{1h};
 inline constexpr auto            tick = 5ms;
 constexpr auto                   window = 5s;
-constexpr double                 excess = 0.1; // That the users bear, and so many requests more
-constexpr double                 slack = 20;
+constexpr double                 excess = 0.1; // Tolerated excess, as a part of the requests allowed in a window
+constexpr double                 slack = 20;   // Requests tolerated beyond that
 
 ////////////////////////////////////////////////////////////
-/// \brief One workspace that sends through all nodes or a few, usually well below its quota and then far above
+/// \brief Load of one workspace, first below its quota and then far above it
 ////////////////////////////////////////////////////////////
 struct Load
 {
-    unsigned       nodes{107};
-    unsigned       used{107};      //!< Nodes that its callers come to
-    double         perSecond{327}; //!< Its quota
-    double         burst{327};     //!< Its quota
-    double         usual{0.6};     //!< Of the quota, for the first half
-    double         pressing{5};    //!< Of the quota, for the second half
-    core::Duration newsWay{100ms};
+    unsigned       nodes{107};         //!< Nodes of the fleet
+    unsigned       entryNodes{107};    //!< Nodes that the workspace's callers use
+    double         perSecond{327};     //!< Rate of the quota, requests/s
+    double         burst{327};         //!< Burst of the quota, requests
+    double         usualFactor{0.6};   //!< Demand in the first half, as a multiple of the rate
+    double         overloadFactor{5};  //!< Demand in the second half, as a multiple of the rate
+    core::Duration reportDelay{100ms}; //!< Delay of reports between nodes
     std::uint64_t  seed{1};
 };
 
 ////////////////////////////////////////////////////////////
-struct Seen
+/// \brief What the fleet let in
+////////////////////////////////////////////////////////////
+struct Result
 {
-    double most{0};      //!< Requests let in in any window, as a part of what users bear
-    double used{0};      //!< Part of the quota that is let in while the workspace presses
-    double served{0};    //!< Share of its requests before that
-    double toldShare{0}; //!< Pieces of news for each request let in
+    double worstWindow{0};       //!< Most requests let in in any window, as a part of the tolerated ones
+    double usedShare{0};         //!< Part of the quota that is let in during the overload
+    double servedShare{0};       //!< Share of the requests that are let in before the overload
+    double reportsPerRequest{0}; //!< Reports between nodes for each request let in
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief All nodes of a fleet, whose news take a while
+/// \brief The quotas of all nodes of a fleet, with delayed reports, in virtual time
 ////////////////////////////////////////////////////////////
 class Fleet
 {
@@ -54,59 +56,61 @@
     m_random(load.seed)
     {
         for (unsigned i = 0; i < load.nodes; ++i)
-            m_nodes.push_back(begun());
-        run(2s, 0); // The burst is saved up
+            m_nodes.push_back(makeQuotas());
+        run(2s, 0); // Lets the nodes save up the burst
     }
 
-    std::unique_ptr<WorkspaceQuotas> begun()
+    std::unique_ptr<WorkspaceQuotas> makeQuotas()
     {
         auto quotas = std::make_unique<WorkspaceQuotas>(balance::QuotaTolerance{window, excess, slack});
-        declare(*quotas);
+        configure(*quotas);
         return quotas;
     }
 
-    void declare(WorkspaceQuotas& quotas)
+    void configure(WorkspaceQuotas& quotas)
     {
         const deployment::Workspace workspace{"north", {"k"}, {}, m_load.perSecond, m_load.burst};
         quotas.configure(std::span(&workspace, 1), m_load.nodes, m_random, m_now);
     }
 
-    void restart(unsigned node)
+    void restartNode(unsigned node)
     {
-        m_nodes[node] = begun();
+        m_nodes[node] = makeQuotas();
     }
 
-    void lower(double perSecond, double burst)
+    void lowerQuota(double perSecond, double burst)
     {
         m_load.perSecond = perSecond;
         m_load.burst = burst;
         for (const auto& node : m_nodes)
-            declare(*node);
+            configure(*node);
     }
 
-    void cut(unsigned nodes)
+    void isolateNodes(unsigned nodes)
     {
-        m_cut = nodes;
+        m_isolated = nodes;
     }
 
-    /// \brief Let time pass with so many requests a second
+    /// \brief Advance time
+    ///
+    /// \param demand Requests per second
     void run(core::Duration time, double demand)
     {
         for (const core::Timestamp end = m_now + time; m_now < end; m_now += tick)
         {
-            deliver();
-            m_due += demand * core::toSeconds(tick);
-            for (; m_due >= 1; m_due -= 1)
-                arrive();
-            tell();
+            deliverReports();
+            m_dueRequests += demand * core::toSeconds(tick);
+            for (; m_dueRequests >= 1; m_dueRequests -= 1)
+                sendRequest();
+            sendReports();
         }
     }
 
-    [[nodiscard]] std::size_t mostIn(core::Duration span, core::Timestamp from) const
+    [[nodiscard]] std::size_t maxInSpan(core::Duration span, core::Timestamp from) const
     {
         std::size_t most = 0;
-        auto        first = std::lower_bound(m_let.begin(), m_let.end(), from);
-        for (auto last = first; last != m_let.end(); ++last)
+        auto        first = std::lower_bound(m_admittedAt.begin(), m_admittedAt.end(), from);
+        for (auto last = first; last != m_admittedAt.end(); ++last)
         {
             while (*last - *first >= span)
                 ++first;
@@ -121,54 +125,54 @@
     }
 
     std::size_t arrived{0};
-    std::size_t news{0};
+    std::size_t reports{0};
 
-    [[nodiscard]] std::size_t let() const
+    [[nodiscard]] std::size_t admitted() const
     {
-        return m_let.size();
+        return m_admittedAt.size();
     }
 
 private:
-    struct OnTheWay
+    struct PendingReport
     {
         core::Timestamp at;
         unsigned        from;
-        LimitNews       news;
+        LimitNews       report;
     };
 
-    void arrive()
+    void sendRequest()
     {
         ++arrived;
-        const auto node = static_cast<unsigned>(m_random.below(m_load.used));
+        const auto node = static_cast<unsigned>(m_random.below(m_load.entryNodes));
         if (!m_nodes[node]->admits("north", m_random, m_now))
             return;
         m_nodes[node]->recordSent("north", m_now);
-        m_let.push_back(m_now);
+        m_admittedAt.push_back(m_now);
     }
 
-    void tell()
+    void sendReports()
     {
         for (unsigned i = 0; i < m_nodes.size(); ++i)
         {
-            std::vector<LimitNews> told;
-            m_nodes[i]->takeNews(told);
-            news += told.size();
-            for (const LimitNews& one : told)
-                m_way.push_back({m_now + m_load.newsWay, i, one});
+            std::vector<LimitNews> taken;
+            m_nodes[i]->takeNews(taken);
+            reports += taken.size();
+            for (const LimitNews& report : taken)
+                m_pending.push_back({m_now + m_load.reportDelay, i, report});
         }
     }
 
-    void deliver()
+    void deliverReports()
     {
-        for (unsigned i = m_cut; i < m_nodes.size(); ++i)
+        for (unsigned i = m_isolated; i < m_nodes.size(); ++i)
             m_nodes[i]->recordFleetContact(m_now);
-        for (; !m_way.empty() && m_way.front().at <= m_now; m_way.pop_front())
+        for (; !m_pending.empty() && m_pending.front().at <= m_now; m_pending.pop_front())
         {
             for (unsigned i = 0; i < m_nodes.size(); ++i)
             {
-                const bool reaches = i >= m_cut && m_way.front().from >= m_cut;
-                if (i != m_way.front().from && reaches)
-                    m_nodes[i]->recordSentElsewhere(m_way.front().news, m_now);
+                const bool delivered = i >= m_isolated && m_pending.front().from >= m_isolated;
+                if (i != m_pending.front().from && delivered)
+                    m_nodes[i]->recordSentElsewhere(m_pending.front().report, m_now);
             }
         }
     }
@@ -177,36 +181,42 @@
     core::Random                                  m_random;
     std::vector<std::unique_ptr<WorkspaceQuotas>> m_nodes;
     core::Timestamp                               m_now{start};
-    double                                        m_due{0};
-    unsigned                                      m_cut{0}; // So many nodes hear nobody and are heard by nobody
-    std::deque<OnTheWay>                          m_way;
-    std::vector<core::Timestamp>                  m_let;
+    double                                        m_dueRequests{0};
+    unsigned                     m_isolated{0}; // Number of nodes that neither send nor receive reports
+    std::deque<PendingReport>    m_pending;
+    std::vector<core::Timestamp> m_admittedAt;
 };
 
 ////////////////////////////////////////////////////////////
-inline double borne(double perSecond, double burst)
+/// \brief Return the most requests in a window that users tolerate under a quota
+////////////////////////////////////////////////////////////
+inline double toleratedRequests(double perSecond, double burst)
 {
     return (perSecond * core::toSeconds(window) + burst) * (1 + excess) + slack;
 }
 
 ////////////////////////////////////////////////////////////
-inline Seen play(const Load& load)
+/// \brief Run a load for 16 s, and print and return the result
+////////////////////////////////////////////////////////////
+inline Result simulate(const Load& load)
 {
     constexpr auto half = 8s;
     Fleet          fleet(load);
-    fleet.run(half, load.usual * load.perSecond);
-    Seen       seen;
-    const auto letBefore = fleet.let();
-    seen.served = static_cast<double>(letBefore) / static_cast<double>(fleet.arrived);
-    fleet.run(half, load.pressing * load.perSecond);
+    fleet.run(half, load.usualFactor * load.perSecond);
+    Result     result;
+    const auto admittedBefore = fleet.admitted();
+    result.servedShare = static_cast<double>(admittedBefore) / static_cast<double>(fleet.arrived);
+    fleet.run(half, load.overloadFactor * load.perSecond);
     const double allowed = load.perSecond * core::toSeconds(half) + load.burst;
-    seen.used = static_cast<double>(fleet.let() - letBefore) / allowed;
-    seen.most = static_cast<double>(fleet.mostIn(window, start)) / borne(load.perSecond, load.burst);
-    seen.toldShare = static_cast<double>(fleet.news) / static_cast<double>(fleet.let());
-    std::cout << load.nodes << " nodes, " << load.used << " used, quota " << load.perSecond << "+" << load.burst
-              << ", pressing " << load.pressing << ": most " << seen.most << ", used " << seen.used
-              << ", served before " << seen.served << ", news a request " << seen.toldShare << '\n';
-    return seen;
+    result.usedShare = static_cast<double>(fleet.admitted() - admittedBefore) / allowed;
+    result.worstWindow =
+        static_cast<double>(fleet.maxInSpan(window, start)) / toleratedRequests(load.perSecond, load.burst);
+    result.reportsPerRequest = static_cast<double>(fleet.reports) / static_cast<double>(fleet.admitted());
+    std::cout << load.nodes << " nodes, " << load.entryNodes << " entry nodes, quota " << load.perSecond << "+"
+              << load.burst << ", overload " << load.overloadFactor << ": worst window " << result.worstWindow
+              << ", used " << result.usedShare << ", served before " << result.servedShare << ", reports per request "
+              << result.reportsPerRequest << '\n';
+    return result;
 }
 
 } // namespace sailpath::support::quotas
