--- a/test/balance/crashes/CrashLedger.test.cpp
+++ b/test/balance/crashes/CrashLedger.test.cpp
@@ -23,13 +23,13 @@
 ////////////////////////////////////////////////////////////
 struct Fixture
 {
-    /// \brief A server ends under a request that ran for 80 ms
+    /// \brief Record a server's end under a request that ran for 80 ms
     void end(std::uint32_t server, const RequestIdentity& request, std::uint32_t node = 0)
     {
         ledger.recordEnd({node, server, request, 80ms, 1ms}, now);
     }
 
-    void endOneAfterTheOther(std::uint32_t first, std::uint32_t last, const RequestIdentity& request)
+    void endInTurn(std::uint32_t first, std::uint32_t last, const RequestIdentity& request)
     {
         for (std::uint32_t server = first; server <= last; ++server)
         {
@@ -38,7 +38,7 @@
         }
     }
 
-    [[nodiscard]] bool quarantined(const RequestIdentity& request) const
+    [[nodiscard]] bool isQuarantined(const RequestIdentity& request) const
     {
         return ledger.findQuarantine(request, now) != nullptr;
     }
@@ -53,59 +53,59 @@
 
 BOOST_FIXTURE_TEST_SUITE(CrashLedgerTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(ThreeServersOneAfterTheOtherAreEnough)
+BOOST_AUTO_TEST_CASE(RequestIsQuarantinedAfterThreeServersEndedOneAfterTheOther)
 {
-    endOneAfterTheOther(1, 2, culprit);
-    BOOST_TEST(!quarantined(culprit));
+    endInTurn(1, 2, culprit);
+    BOOST_TEST(!isQuarantined(culprit));
     end(3, culprit);
-    BOOST_TEST(quarantined(culprit));
-    const auto concluded = ledger.takeChanged();
-    BOOST_REQUIRE_EQUAL(concluded.size(), 1U);
-    BOOST_TEST(concluded[0].source == "here");
-    BOOST_TEST(concluded[0].servers == 3U);
+    BOOST_TEST(isQuarantined(culprit));
+    const auto changed = ledger.takeChanged();
+    BOOST_REQUIRE_EQUAL(changed.size(), 1U);
+    BOOST_TEST(changed[0].source == "here");
+    BOOST_TEST(changed[0].servers == 3U);
     BOOST_TEST(ledger.takeChanged().empty());
 }
 
-BOOST_AUTO_TEST_CASE(TheSameServerAndTheSameMomentCountOnce)
+BOOST_AUTO_TEST_CASE(RepeatedAndSimultaneousEndsCountOnce)
 {
     for (int i = 0; i < 5; ++i)
         end(1, culprit);
     for (std::uint32_t server = 2; server < 9; ++server)
         end(server, culprit);
-    BOOST_TEST(!quarantined(culprit));
+    BOOST_TEST(!isQuarantined(culprit));
 }
 
-BOOST_AUTO_TEST_CASE(CopiesOfPopularRequestsByManyCallersAreNoCulpritsWhenServersFallTogether)
+BOOST_AUTO_TEST_CASE(PopularRequestOfManyCallersIsNotQuarantinedWhenServersEndTogether)
 {
     for (std::uint32_t server = 1; server < 30; ++server)
     {
         ledger.recordEnd({server % 5, server, requestOf("popular", server), 60ms, core::Duration(server * 2ms)}, now);
         now += 10ms;
     }
-    BOOST_TEST(!quarantined(requestOf("popular", 3)));
+    BOOST_TEST(!isQuarantined(requestOf("popular", 3)));
 }
 
-BOOST_AUTO_TEST_CASE(AnAnswerClearsIt)
+BOOST_AUTO_TEST_CASE(AnswerClearsTheRequest)
 {
-    endOneAfterTheOther(1, 2, culprit);
+    endInTurn(1, 2, culprit);
     ledger.recordServed(culprit.content);
-    endOneAfterTheOther(3, 4, culprit);
-    BOOST_TEST(!quarantined(culprit));
+    endInTurn(3, 4, culprit);
+    BOOST_TEST(!isQuarantined(culprit));
     BOOST_TEST(ledger.countEnds(culprit.content, now) == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(WhatEndedUnderAKnownCulpritCountsAgainstNoOther)
+BOOST_AUTO_TEST_CASE(EndUnderAQuarantinedRequestCountsAgainstNoOther)
 {
     end(1, other);
-    endOneAfterTheOther(1, 3, culprit);
-    BOOST_TEST(quarantined(culprit));
+    endInTurn(1, 3, culprit);
+    BOOST_TEST(isQuarantined(culprit));
     end(3, other);
     end(4, other);
-    BOOST_TEST(!quarantined(other));
+    BOOST_TEST(!isQuarantined(other));
     BOOST_TEST(ledger.countEnds(other.content, now) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(TwoAtTheSameServersAreToldApartByTheFourth)
+BOOST_AUTO_TEST_CASE(FourthEndDistinguishesTwoRequestsThatWereAtTheSameServers)
 {
     for (std::uint32_t server = 1; server <= 3; ++server)
     {
@@ -114,27 +114,27 @@
         now += 500ms;
     }
     end(4, culprit);
-    BOOST_TEST(quarantined(culprit));
+    BOOST_TEST(isQuarantined(culprit));
     now += 500ms;
     end(5, other);
-    BOOST_TEST(!quarantined(other));
+    BOOST_TEST(!isQuarantined(other));
 }
 
-BOOST_AUTO_TEST_CASE(OnlyItsCallerIsRefusedUntilItEndsServersFromAnotherAddress)
+BOOST_AUTO_TEST_CASE(QuarantineHoldsForOneCallerUntilAServerEndsUnderAnother)
 {
-    endOneAfterTheOther(1, 3, culprit);
+    endInTurn(1, 3, culprit);
     const RequestIdentity elsewhere{culprit.content, 9};
-    BOOST_TEST(!quarantined(elsewhere));
+    BOOST_TEST(!isQuarantined(elsewhere));
     (void)ledger.takeChanged();
     end(4, elsewhere);
-    BOOST_TEST(quarantined(elsewhere));
-    BOOST_TEST(quarantined(requestOf("culprit", 77)));
+    BOOST_TEST(isQuarantined(elsewhere));
+    BOOST_TEST(isQuarantined(requestOf("culprit", 77)));
     BOOST_TEST(ledger.takeChanged().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(AServerThatAnswersDidNotEnd)
+BOOST_AUTO_TEST_CASE(AnswerOfAServerRefutesItsReportedEnd)
 {
-    // One node tells what is not so.
+    // Node 8 reports ends that did not happen.
     for (std::uint32_t server = 1; server <= 6; ++server)
     {
         end(server, other, 8);
@@ -142,25 +142,25 @@
         ledger.recordContact(server, now);
         now += 300ms;
     }
-    BOOST_TEST(!quarantined(other));
+    BOOST_TEST(!isQuarantined(other));
 }
 
-BOOST_AUTO_TEST_CASE(ItEndsByItselfAndWithTheEntryInTheStore)
+BOOST_AUTO_TEST_CASE(QuarantineExpiresAndIsLiftedWithItsEntryInTheStore)
 {
-    endOneAfterTheOther(1, 3, culprit);
+    endInTurn(1, 3, culprit);
     now += 10min;
-    BOOST_TEST(!quarantined(culprit));
-    endOneAfterTheOther(4, 6, culprit);
+    BOOST_TEST(!isQuarantined(culprit));
+    endInTurn(4, 6, culprit);
     auto stored = ledger.takeChanged().back();
     stored.stored = true;
     ledger.applyStored(std::vector{stored}, now);
-    BOOST_TEST(quarantined(culprit));
+    BOOST_TEST(isQuarantined(culprit));
     ledger.applyStored({}, now);
-    BOOST_TEST(!quarantined(culprit));
+    BOOST_TEST(!isQuarantined(culprit));
     BOOST_TEST(ledger.empty());
 }
 
-BOOST_AUTO_TEST_CASE(ASuspendedNodeFindsItOver)
+BOOST_AUTO_TEST_CASE(QuarantineExpiresInTimeForASuspendedNode)
 {
     for (const core::Duration gap : {core::Duration(1s), core::Duration(5s), core::Duration(60s)})
     {
@@ -175,9 +175,9 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(WhoMakesNewOnesAllTheTimeDrivesOutOnlyHisOwn)
+BOOST_AUTO_TEST_CASE(CallerOfManyNewRequestsEvictsOnlyEvidenceAgainstItsOwn)
 {
-    endOneAfterTheOther(1, 2, other);
+    endInTurn(1, 2, other);
     for (int i = 0; i < 5000; ++i)
     {
         end(static_cast<std::uint32_t>(100 + i), requestOf("new " + std::to_string(i), 66));
@@ -185,7 +185,7 @@
     }
     BOOST_TEST(ledger.countEnds(other.content, now) == 2U);
     end(3, other);
-    BOOST_TEST(quarantined(other));
+    BOOST_TEST(isQuarantined(other));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/balance/crashes/CrashingRequests.test.cpp
+++ b/test/balance/crashes/CrashingRequests.test.cpp
@@ -1,5 +1,5 @@
-// The load of requests that end the servers that run them, replayed by balancers of many nodes in virtual time, with
-// news of servers' ends told between nodes; and loads in which servers end in numbers for other reasons.
+// Checks, in a model of many nodes in virtual time, that the fleet soon quarantines a request that ends the servers that
+// run it, and that no other request is quarantined, also when servers end in large numbers for other reasons.
 
 #include <support/ServiceModel.hpp>
 
@@ -14,9 +14,9 @@
 using support::ModelSettings;
 using support::ServiceModel;
 
-constexpr core::Duration contact = 3s; // For a third end to be known to all
-constexpr std::size_t    mostLater = 3;
-constexpr std::size_t    mostEnds = 5; // Three, and what is under way until all know
+constexpr core::Duration propagationTime = 3s; // After the third end, until all nodes must know the request
+constexpr std::size_t    maxLateSends = 3;
+constexpr std::size_t    maxEnds = 5; // Three, and those of copies that are under way until all nodes know
 
 ////////////////////////////////////////////////////////////
 ServiceModel makeModel(ModelSettings settings, unsigned nodes, std::uint64_t seed)
@@ -26,7 +26,7 @@
     settings.seed = seed;
     settings.retryRatio = 0.2;
     settings.retryExtra = 64;
-    // As many servers and requests for each node as where 18 nodes stand before 10 servers.
+    // Servers and requests per node are those of 18 nodes with 10 servers; there are at least 10 servers.
     const unsigned count = std::max(10U, nodes * 10 / 18);
     KindOfRequest  kind;
     kind.name = "read";
@@ -48,36 +48,36 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief What a culprit brought about that came every two seconds
+/// \brief Effects of a culprit that was sent every two seconds
 ////////////////////////////////////////////////////////////
 struct Result
 {
-    std::size_t ends{0};
-    std::size_t beside{0};
-    std::size_t later{0};
-    std::size_t wronglyRefused{0};
-    double      served{0};
+    std::size_t ends{0};           //!< Servers that ended under the culprit
+    std::size_t lostBeside{0};     //!< Other requests lost with these servers
+    std::size_t lateSends{0};      //!< Arrivals of the culprit at servers after `propagationTime`
+    std::size_t wronglyRefused{0}; //!< Other requests that were refused as ending servers
+    double      servedShare{0};    //!< Share of the other requests that were served
 };
 
 ////////////////////////////////////////////////////////////
-Result play(const ModelSettings& settings, unsigned nodes, std::uint64_t seed, bool moves = false,
-            core::Duration others = {})
+Result simulate(const ModelSettings& settings, unsigned nodes, std::uint64_t seed, bool movesCaller = false,
+                core::Duration otherEndsEvery = {})
 {
     const int    seconds = nodes > 100 ? 12 : 40;
     ServiceModel model = makeModel(settings, nodes, seed);
     model.run(4s);
     model.beginCount();
-    const std::size_t culprit = model.sendCulprit(0, 2s, moves);
+    const std::size_t culprit = model.sendCulprit(0, 2s, movesCaller);
     core::Random      random(seed);
     for (int second = 0; second < seconds; ++second)
     {
         model.run(1s);
-        const auto present = model.runningServers();
-        if (others.count() > 0 && second * 1s % others == 0s && present.size() > 4)
-            model.crashServer(present[random.below(present.size())]);
+        const auto running = model.runningServers();
+        if (otherEndsEvery.count() > 0 && second * 1s % otherEndsEvery == 0s && running.size() > 4)
+            model.crashServer(running[random.below(running.size())]);
     }
     return {model.culprit(culprit).ends.size(), model.culprit(culprit).lostBeside,
-            model.culprit(culprit).countSendsAfterThirdEnd(contact), model.wronglyRefused(),
+            model.culprit(culprit).countSendsAfterThirdEnd(propagationTime), model.wronglyRefused(),
             model.tally(0).servedShare()};
 }
 
@@ -85,53 +85,53 @@
 
 BOOST_AUTO_TEST_SUITE(CrashingRequestsTest)
 
-BOOST_AUTO_TEST_CASE(TheFleetKnowsARequestThatEndsServers)
+BOOST_AUTO_TEST_CASE(FleetQuarantinesARequestThatEndsServers)
 {
     for (const unsigned nodes : {13U, 95U, 473U})
     {
         for (std::uint64_t seed = 1; seed <= (nodes > 100 ? 1 : 4); ++seed)
         {
-            const Result result = play({}, nodes, seed);
-            BOOST_TEST_CONTEXT(nodes << " nodes, seed " << seed << ", beside " << result.beside << ", served "
-                                     << result.served)
+            const Result result = simulate({}, nodes, seed);
+            BOOST_TEST_CONTEXT(nodes << " nodes, seed " << seed << ", beside " << result.lostBeside << ", served "
+                                     << result.servedShare)
             {
-                BOOST_TEST(result.ends <= mostEnds);
-                BOOST_TEST(result.later <= mostLater);
+                BOOST_TEST(result.ends <= maxEnds);
+                BOOST_TEST(result.lateSends <= maxLateSends);
                 BOOST_TEST(result.wronglyRefused == 0U);
             }
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(ItIsKnownAlsoWhenItsCallerHasAnotherAddressEachTime)
+BOOST_AUTO_TEST_CASE(RequestIsQuarantinedWhenItsCallerChangesAddresses)
 {
     for (std::uint64_t seed = 1; seed <= 4; ++seed)
     {
-        const Result result = play({}, 18, seed, true);
+        const Result result = simulate({}, 18, seed, true);
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            BOOST_TEST(result.ends <= mostEnds + 2);
-            BOOST_TEST(result.later <= mostLater);
+            BOOST_TEST(result.ends <= maxEnds + 2);
+            BOOST_TEST(result.lateSends <= maxLateSends);
             BOOST_TEST(result.wronglyRefused == 0U);
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(ItIsKnownWhileServersEndForOtherReasons)
+BOOST_AUTO_TEST_CASE(RequestIsQuarantinedWhileServersEndForOtherReasons)
 {
     for (std::uint64_t seed = 1; seed <= 4; ++seed)
     {
-        const Result result = play({}, 18, seed, false, 2s);
+        const Result result = simulate({}, 18, seed, false, 2s);
         BOOST_TEST_CONTEXT("seed " << seed)
         {
-            BOOST_TEST(result.ends <= mostEnds);
-            BOOST_TEST(result.later <= mostLater);
+            BOOST_TEST(result.ends <= maxEnds);
+            BOOST_TEST(result.lateSends <= maxLateSends);
             BOOST_TEST(result.wronglyRefused == 0U);
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(ServersThatEndInNumbersMakeNobodyACulprit)
+BOOST_AUTO_TEST_CASE(NoRequestIsQuarantinedWhenManyServersEndForOtherReasons)
 {
     for (const unsigned nodes : {18U, 60U})
     {
@@ -142,16 +142,16 @@
             model.run(4s);
             for (int round = 0; round < 12; ++round)
             {
-                // A third at once, then one after the other.
-                auto present = model.runningServers();
-                for (std::size_t i = 0; i < present.size(); i += 3)
-                    model.crashServer(present[i]);
-                for (int one = 0; one < 8; ++one)
+                // A third of the servers ends at once, then single servers one after the other.
+                auto running = model.runningServers();
+                for (std::size_t i = 0; i < running.size(); i += 3)
+                    model.crashServer(running[i]);
+                for (int single = 0; single < 8; ++single)
                 {
                     model.run(500ms);
-                    present = model.runningServers();
-                    if (present.size() > 3)
-                        model.crashServer(present[random.below(present.size())]);
+                    running = model.runningServers();
+                    if (running.size() > 3)
+                        model.crashServer(running[random.below(running.size())]);
                 }
             }
             BOOST_TEST(model.wronglyRefused() == 0U);
--- a/test/balance/crashes/Innocent.test.cpp
+++ b/test/balance/crashes/Innocent.test.cpp
@@ -1,7 +1,7 @@
-// Servers ended under copies of one request that many callers sent at once, and a request of another caller that was at
-// three of them was quarantined beside it, for ten minutes: of copies under way together only one counts as evidence, and
-// only the servers of counted ends were taken back from other requests once the true one was known. Its third end was
-// concluded 88 ms after the true one was known to the fleet.
+// Guards against the quarantine of a harmless request for ten minutes. Many callers send copies of a request that ends
+// servers; another caller's request is at three of these servers. Of copies under way together only one end counts as
+// evidence. If, once the culprit is known, only the servers of its counted ends are removed from the evidence against
+// other requests, the harmless request can still reach three ends, as once 88 ms after the fleet knew the culprit.
 
 #include <sailpath/balance/CrashLedger.hpp>
 #include <sailpath/core/Random.hpp>
@@ -31,26 +31,28 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief An end as it happened, and when a node hears of it
+/// \brief A server's end, and when the report of it arrives
 ////////////////////////////////////////////////////////////
-struct News
+struct Report
 {
-    core::Timestamp happened;
-    core::Timestamp heard;
+    core::Timestamp endedAt;
+    core::Timestamp arrivedAt;
     ServerEnd       end;
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Servers that end under copies of one request from many callers; another request is at three of them in turn
+/// \brief Draw reports of servers that end under copies of one request from many callers
+///
+/// Another request is at each third server.
 ////////////////////////////////////////////////////////////
-std::vector<News> draw(core::Random& random)
+std::vector<Report> drawReports(core::Random& random)
 {
-    std::vector<News> all;
-    const auto        add = [&](core::Timestamp at, std::uint32_t server, const RequestIdentity& request)
+    std::vector<Report> all;
+    const auto          add = [&](core::Timestamp at, std::uint32_t server, const RequestIdentity& request)
     {
         const auto node = static_cast<std::uint32_t>(1 + random.below(20));
-        const auto way = core::fromMilliseconds(10 + 90 * random.unit());
-        all.push_back({at, at + way, {node, server, request, core::fromMilliseconds(40 + 60 * random.unit()), {}}});
+        const auto delay = core::fromMilliseconds(10 + 90 * random.unit());
+        all.push_back({at, at + delay, {node, server, request, core::fromMilliseconds(40 + 60 * random.unit()), {}}});
     };
     core::Timestamp     at = start;
     const std::uint32_t servers = 9;
@@ -62,7 +64,8 @@
             add(at, server, requestOf("innocent", 7));
         add(at, server, requestOf("other " + std::to_string(server), server));
     }
-    std::sort(all.begin(), all.end(), [](const News& left, const News& right) { return left.heard < right.heard; });
+    std::sort(all.begin(), all.end(),
+              [](const Report& left, const Report& right) { return left.arrivedAt < right.arrivedAt; });
     return all;
 }
 
@@ -70,7 +73,7 @@
 
 BOOST_AUTO_TEST_SUITE(InnocentTest)
 
-BOOST_AUTO_TEST_CASE(WhateverTheOrderOfTheNewsOnlyTheCulpritIsQuarantined)
+BOOST_AUTO_TEST_CASE(OnlyTheCulpritIsQuarantinedForAnyOrderOfReports)
 {
     unsigned innocent = 0;
     unsigned missed = 0;
@@ -78,14 +81,14 @@
     {
         core::Random random(seed);
         CrashLedger  ledger;
-        const auto   news = draw(random);
-        for (const News& one : news)
+        const auto   reports = drawReports(random);
+        for (const Report& report : reports)
         {
-            ServerEnd end = one.end;
-            end.ago = one.heard - one.happened;
-            ledger.recordEnd(end, one.heard);
+            ServerEnd end = report.end;
+            end.ago = report.arrivedAt - report.endedAt;
+            ledger.recordEnd(end, report.arrivedAt);
         }
-        const core::Timestamp last = news.back().heard;
+        const core::Timestamp last = reports.back().arrivedAt;
         innocent += ledger.findQuarantine(requestOf("innocent", 7), last) != nullptr ? 1 : 0;
         missed += ledger.findQuarantine(requestOf("culprit", 101), last) == nullptr ? 1 : 0;
     }
@@ -93,7 +96,7 @@
     BOOST_TEST(missed == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(AVerdictThatComesBeforeTheTrueOneIsTakenBack)
+BOOST_AUTO_TEST_CASE(WrongQuarantineIsWithdrawnOnceTheCulpritIsKnown)
 {
     CrashLedger     ledger;
     core::Timestamp now = start;
@@ -109,7 +112,7 @@
     }
     BOOST_TEST(ledger.findQuarantine(innocent, now) != nullptr);
     BOOST_TEST(ledger.takeChanged().size() == 1U);
-    // News of the culprit at the same servers come late; then it goes on by itself.
+    // Reports of the culprit at the same three servers arrive late; it then ends three more servers.
     for (std::uint32_t server = 1; server <= 6; ++server)
     {
         end(server, culprit);
@@ -117,10 +120,10 @@
     }
     BOOST_TEST(ledger.findQuarantine(culprit, now) != nullptr);
     BOOST_TEST(ledger.findQuarantine(innocent, now) == nullptr);
-    const auto told = ledger.takeChanged();
-    BOOST_TEST(std::any_of(told.begin(), told.end(),
+    const auto changed = ledger.takeChanged();
+    BOOST_TEST(std::any_of(changed.begin(), changed.end(),
                            [&](const auto& item) { return item.content == innocent.content && item.until <= now; }));
-    // Its copy in the store is believed no more, until it is gone there.
+    // The withdrawn quarantine's copy in the store is ignored until it is removed there.
     deployment::Quarantine stored;
     stored.content = innocent.content;
     stored.servers = 3;
@@ -130,7 +133,7 @@
     BOOST_TEST(ledger.findQuarantine(innocent, now) == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(AVerdictOfTheStoreThatRestsOnWhatWasNotSeenHereStays)
+BOOST_AUTO_TEST_CASE(StoredQuarantineWithEndsUnknownHereIsKept)
 {
     CrashLedger            ledger;
     core::Timestamp        now = start;
--- a/test/balance/crashes/Quarantined.test.cpp
+++ b/test/balance/crashes/Quarantined.test.cpp
@@ -1,4 +1,4 @@
-// What a node does with requests under which servers have ended.
+// Checks how a node treats requests under which servers have ended.
 
 #include <support/OneRouteFixture.hpp>
 
@@ -37,7 +37,9 @@
         return steps();
     }
 
-    /// \brief The server of the last send ends under its request; the steps that follow
+    /// \brief End the server of an attempt under its request, and return the steps that follow
+    ///
+    /// \param result Result of the check whether the server still accepts connections
     std::vector<Step> endServer(const Step& sent, const deployment::RequestIdentity& identity,
                                 CheckResult result = CheckResult::Refuses)
     {
@@ -60,7 +62,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(QuarantinedTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(OneThatCameBeforeTheFirstConfigurationIsRefusedWithIt)
+BOOST_AUTO_TEST_CASE(RequestFromBeforeTheFirstConfigurationIsRefusedOnceConfigured)
 {
     BOOST_TEST(balancer.looksUpRequests());
     BOOST_TEST(admit(1, requestOf("culprit")).empty());
@@ -79,7 +81,7 @@
     BOOST_TEST(find(admit(2, requestOf("other")), StepKind::Forward) != nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(ItIsSentTwiceInATryAndOnceInTheNext)
+BOOST_AUTO_TEST_CASE(RequestIsQuarantinedAfterItsAttemptsEndedThreeServers)
 {
     balancer.configure(declared, now);
     now += 20s;
@@ -89,21 +91,21 @@
     taken = endServer(*find(taken, StepKind::Forward), culprit);
     BOOST_REQUIRE(find(taken, StepKind::Forward) != nullptr);
     taken = endServer(*find(taken, StepKind::Forward), culprit);
-    // The third send has left before the second end was known; it is the last one.
+    // The third attempt was sent before the second end was known; it is the last one.
     while (const Step* sent = find(taken, StepKind::Forward))
         taken = endServer(*sent, culprit);
     BOOST_REQUIRE(find(taken, StepKind::Refuse) != nullptr);
     BOOST_TEST(find(taken, StepKind::Refuse)->refusal.mayHaveRun);
-    const auto concluded = balancer.takeQuarantined();
-    BOOST_REQUIRE_EQUAL(concluded.size(), 1U);
-    BOOST_TEST(concluded[0].servers == 3U);
+    const auto changed = balancer.takeQuarantined();
+    BOOST_REQUIRE_EQUAL(changed.size(), 1U);
+    BOOST_TEST(changed[0].servers == 3U);
     BOOST_TEST(balancer.takeCrashNews().ends.size() == 3U);
     taken = admit(2, culprit);
     BOOST_REQUIRE(find(taken, StepKind::Refuse) != nullptr);
     BOOST_TEST((find(taken, StepKind::Refuse)->refusal.reason == RefusalReason::EndsServers));
 }
 
-BOOST_AUTO_TEST_CASE(AServerThatStillTakesConnectionsHasNotEnded)
+BOOST_AUTO_TEST_CASE(ServerThatStillAcceptsConnectionsHasNotEnded)
 {
     balancer.configure(declared, now);
     now += 20s;
@@ -118,7 +120,7 @@
     BOOST_TEST(balancer.takeCrashNews().empty());
 }
 
-BOOST_AUTO_TEST_CASE(WithTwoEndsItGoesOutOnceAtATime)
+BOOST_AUTO_TEST_CASE(RequestWithTwoEndsIsSentOnceAtATime)
 {
     balancer.configure(declared, now);
     now += 20s;
@@ -132,7 +134,7 @@
     const auto second = admit(2, culprit);
     BOOST_REQUIRE(find(second, StepKind::Refuse) != nullptr);
     BOOST_TEST((find(second, StepKind::Refuse)->refusal.reason == RefusalReason::MayEndServers));
-    // It is answered: what was believed is over, here and, as told, elsewhere.
+    // The answer clears the request on this node and, by a report, on the others.
     balance::Outcome good;
     good.end = AttemptEnd::Answered;
     good.status = 200;
--- a/test/balance/crashes/ServerLives.test.cpp
+++ b/test/balance/crashes/ServerLives.test.cpp
@@ -1,4 +1,4 @@
-// Servers that start again under the ids that they had, in numbers.
+// Checks that requests are served while many servers restart under their former ids.
 
 #include <support/ServiceModel.hpp>
 
@@ -42,14 +42,14 @@
     model.beginCount();
     for (int second = 0; second < 40; ++second)
     {
-        const auto present = model.runningServers();
+        const auto running = model.runningServers();
         for (std::size_t i = 0; i < 2; ++i)
-            model.restartServer(present[(random.below(present.size() / 2) + i * present.size() / 2)], 700ms);
+            model.restartServer(running[(random.below(running.size() / 2) + i * running.size() / 2)], 700ms);
         model.run(1s);
     }
     BOOST_TEST(model.wronglyRefused() == 0U);
     BOOST_TEST(model.tally(0).servedShare() > 0.98);
-    // As new ones they get their share again.
+    // Restarted servers get their share of the requests again.
     for (unsigned i = 0; i < 20; ++i)
         BOOST_TEST(model.countArrivals("i-" + std::to_string(i)) > 30U);
 }
