--- a/test/balance/limits/Fleet.test.cpp
+++ b/test/balance/limits/Fleet.test.cpp
@@ -18,28 +18,28 @@
 constexpr unsigned allServers = 10;
 
 ////////////////////////////////////////////////////////////
-/// \brief A service some of whose servers name a limit well below what they get
+/// \brief Load of a service some of whose servers name a limit well below the requests that they get
 ////////////////////////////////////////////////////////////
 struct Load
 {
-    unsigned       nodes{18};
-    double         limit{3.5};          //!< Requests a second of each limited server
-    unsigned       limited{allServers}; //!< Servers that name it
-    double         skew{0};             //!< Share of the callers that come to one node
-    double         demand{2.5};         //!< Requests of the service, as a multiple of the limit times all servers
-    core::Duration reportDelay{100ms};
-    core::Duration time{12s};
+    unsigned       nodes{18};           //!< Nodes of the fleet
+    double         limit{3.5};          //!< Limit of each limited server, requests/s
+    unsigned       limited{allServers}; //!< Servers that name the limit
+    double         firstNodeShare{0};   //!< Share of the callers that use the first node, besides its even share
+    double         demand{2.5};         //!< Requests for the service, as a multiple of the limit times all servers
+    core::Duration reportDelay{100ms};  //!< Longest delay of reports between nodes
+    core::Duration time{12s};           //!< Measured time
     std::uint64_t  seed{1};
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What limited servers got from a second after they had first told
+/// \brief What limited servers got, from a second after their first answer with a limit
 ////////////////////////////////////////////////////////////
-struct Seen
+struct Result
 {
-    double most{0};   //!< Requests in any 4 s, as a multiple of 1.1 times what is allowed, + 5
-    double used{0};   //!< Part of what they take
-    double served{0}; //!< Share of the service's requests
+    double worstSpan{0};   //!< Most requests of one server in any 4 s, as a part of 1.1 times the limit plus 5 requests
+    double usedShare{0};   //!< Part of the limits that is used
+    double servedShare{0}; //!< Share of the service's requests that are served
 };
 
 ////////////////////////////////////////////////////////////
@@ -54,7 +54,7 @@
     ModelSettings settings;
     settings.nodes = load.nodes;
     settings.dataCentres = 4;
-    settings.firstNodeShare = load.skew;
+    settings.firstNodeShare = load.firstNodeShare;
     settings.reportDelay = load.reportDelay;
     settings.seed = load.seed;
     KindOfRequest kind;
@@ -79,9 +79,9 @@
 }
 
 ////////////////////////////////////////////////////////////
-Seen measure(const ServiceModel& model, const Load& load)
+Result measure(const ServiceModel& model, const Load& load)
 {
-    Seen         seen;
+    Result       result;
     const double allowed = 1.1 * load.limit * 4 + 5;
     for (unsigned i = 0; i < load.limited; ++i)
     {
@@ -89,21 +89,21 @@
         if (!limited.limitReportedAt)
             continue;
         const auto   from = *limited.limitReportedAt + 1s;
-        // Until then the nodes make up for what the server got just before it named the limit.
+        // Before `evenFrom` the nodes compensate for what the server got just before it named the limit.
         const auto   evenFrom = *limited.limitReportedAt + 3s;
         const double got = static_cast<double>(limited.countBetween(evenFrom, model.now()));
-        seen.most = std::max(seen.most, static_cast<double>(limited.maxInSpan(4s, from)) / allowed);
-        seen.used += got / (load.limit * core::toSeconds(model.now() - evenFrom)) / load.limited;
+        result.worstSpan = std::max(result.worstSpan, static_cast<double>(limited.maxInSpan(4s, from)) / allowed);
+        result.usedShare += got / (load.limit * core::toSeconds(model.now() - evenFrom)) / load.limited;
     }
-    seen.served = model.tally(0).servedShare();
+    result.servedShare = model.tally(0).servedShare();
     std::cout << load.nodes << " nodes, limit " << load.limit << " at " << load.limited << " of " << allServers
-              << ", skew " << load.skew << ": most in 4 s " << seen.most << " of the aim, used " << seen.used
-              << ", served " << seen.served << '\n';
-    return seen;
+              << ", skew " << load.firstNodeShare << ": most in 4 s " << result.worstSpan << " of the allowed, used "
+              << result.usedShare << ", served " << result.servedShare << '\n';
+    return result;
 }
 
 ////////////////////////////////////////////////////////////
-Seen play(const Load& load)
+Result simulate(const Load& load)
 {
     ServiceModel model = modelOf(load);
     model.run(3s);
@@ -119,7 +119,7 @@
 
 BOOST_AUTO_TEST_SUITE(SharedLimitFleetTest)
 
-BOOST_AUTO_TEST_CASE(TheSumIsKeptAndUsedWhateverTheNumberOfNodesAndServers)
+BOOST_AUTO_TEST_CASE(LimitIsKeptAndUsedForAllNumbersOfNodesAndServers)
 {
     for (const unsigned nodes : {13U, 95U, 473U})
     {
@@ -127,22 +127,22 @@
         {
             for (const unsigned limited : {1U, allServers / 2, allServers})
             {
-                const Seen seen = play({nodes, limit, limited});
-                BOOST_TEST(seen.most <= 1.0);
+                const Result result = simulate({nodes, limit, limited});
+                BOOST_TEST(result.worstSpan <= 1.0);
                 if (limited == allServers && limit > 1)
-                    BOOST_TEST(seen.used >= 0.9);
+                    BOOST_TEST(result.usedShare >= 0.9);
             }
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(TheSumIsKeptAndUsedWhenMostCallersComeToOneNode)
+BOOST_AUTO_TEST_CASE(LimitIsKeptAndUsedWhenMostCallersUseOneNode)
 {
     for (const unsigned nodes : {13U, 95U, 473U})
     {
-        const Seen seen = play({nodes, 3.5, allServers, 0.8});
-        BOOST_TEST(seen.most <= 1.0);
-        BOOST_TEST(seen.used >= 0.9);
+        const Result result = simulate({nodes, 3.5, allServers, 0.8});
+        BOOST_TEST(result.worstSpan <= 1.0);
+        BOOST_TEST(result.usedShare >= 0.9);
     }
 }
 
@@ -150,32 +150,32 @@
 {
     Load load{13, 50, allServers};
     load.time = 8s;
-    const Seen seen = play(load);
-    BOOST_TEST(seen.most <= 1.0);
-    BOOST_TEST(seen.used >= 0.9);
+    const Result result = simulate(load);
+    BOOST_TEST(result.worstSpan <= 1.0);
+    BOOST_TEST(result.usedShare >= 0.9);
 }
 
-BOOST_AUTO_TEST_CASE(WithNewsHalfASecondOnTheirWayServersGetNoMoreThanTheyBear)
+BOOST_AUTO_TEST_CASE(ServersGetNoMoreThanTheyBearWithReportsDelayedByHalfASecond)
 {
     Load load{95, 3.5, allServers};
     load.reportDelay = 500ms;
-    const double asked = 1.1 * load.limit * 4 + 5;
-    const double borne = 1.5 * load.limit * 4 + 5;
-    BOOST_TEST(play(load).most * asked <= borne);
+    const double allowed = 1.1 * load.limit * 4 + 5;
+    const double maxBorne = 1.5 * load.limit * 4 + 5;
+    BOOST_TEST(simulate(load).worstSpan * allowed <= maxBorne);
 }
 
-BOOST_AUTO_TEST_CASE(DemandOfNearlyTheLimitIsLetIn)
+BOOST_AUTO_TEST_CASE(DemandOfFourFifthsOfTheLimitIsServed)
 {
     for (const unsigned nodes : {13U, 473U})
     {
         Load load{nodes, 3.5, allServers};
         load.demand = 0.8;
         load.time = 20s;
-        BOOST_TEST(play(load).served >= 0.95);
+        BOOST_TEST(simulate(load).servedShare >= 0.95);
     }
 }
 
-BOOST_AUTO_TEST_CASE(NodesThatStartAnewKnowTheLimitAgainWithinAMoment)
+BOOST_AUTO_TEST_CASE(LimitIsKeptAndUsedWhileNodesRestart)
 {
     const Load   load{95, 3.5, allServers};
     ServiceModel model = modelOf(load);
@@ -190,14 +190,14 @@
         model.run(50ms);
     }
     model.run(6s);
-    const Seen seen = measure(model, load);
-    BOOST_TEST(seen.most <= 1.0);
-    BOOST_TEST(seen.used >= 0.9);
+    const Result result = measure(model, load);
+    BOOST_TEST(result.worstSpan <= 1.0);
+    BOOST_TEST(result.usedShare >= 0.9);
 }
 
-BOOST_AUTO_TEST_CASE(AServerThatTakesEverythingAgainIsUsedWholeWithinASecond)
+BOOST_AUTO_TEST_CASE(ServerIsFullyUsedWithinASecondAfterItsLimitEnds)
 {
-    // It is heard of by the next answer, so the smaller the limit, the later.
+    // Nodes learn of the end of a limit by the server's next answer, so the smaller the limit, the later.
     double usual = 0;
     double after = 0;
     for (const std::uint64_t seed : {1U, 2U, 3U, 4U})
@@ -219,14 +219,15 @@
             const auto& got = model.limited(idOf(i));
             usual += static_cast<double>(got.countBetween(begin - 4s, begin)) / 4;
             after += static_cast<double>(got.countBetween(end + 1s, end + 6s)) / 5;
-            BOOST_TEST(got.maxInSpan(1s, end) <= 30U); // No herd: three times what it got at the most
+            // No stampede: at most three times what the server got before.
+            BOOST_TEST(got.maxInSpan(1s, end) <= 30U);
         }
     }
     std::cout << "requests a second before limits " << usual << ", from a second after their end " << after << '\n';
     BOOST_TEST(after >= 0.75 * usual);
 }
 
-BOOST_AUTO_TEST_CASE(OfALimitThatFallsAndRisesTenTimesASecondTheLowerHolds)
+BOOST_AUTO_TEST_CASE(LowerValueHoldsWhenALimitChangesTenTimesASecond)
 {
     const Load   load{95, 3.5, 2};
     ServiceModel model = modelOf(load);
@@ -241,9 +242,10 @@
     {
         const auto& got = model.limited(idOf(i));
         const auto  most = got.maxInSpan(4s, *got.limitReportedAt + 1s);
-        std::cout << "limits of " << load.limit << " and " << 4 * load.limit << " by turns: most in 4 s " << most
+        std::cout << "limits of " << load.limit << " and " << 4 * load.limit << " in turn: most in 4 s " << most
                   << '\n';
-        BOOST_TEST(static_cast<double>(most) <= 1.1 * 2.5 * load.limit * 4 + 5); // The mean of both
+        // 2.5 times the limit is the mean of both limits.
+        BOOST_TEST(static_cast<double>(most) <= 1.1 * 2.5 * load.limit * 4 + 5);
     }
 }
 
--- a/test/balance/limits/Incident.test.cpp
+++ b/test/balance/limits/Incident.test.cpp
@@ -1,9 +1,10 @@
-// Two of the ten servers of a service asked, in their answers, for 2.9 requests a second from all nodes together. They
-// had been getting 7.4 a second each and went on getting 7.5 and 7.2, from ten and six of 18 nodes: 27 and 26 requests in
-// 4 s where 22 are allowed. No node sent more than 13 of them, and no second send was among them. Nobody read what the
-// servers said; and had each node held to it by itself, the sum would still have been many times the limit, as what a
-// server takes from all nodes together is seen by none of them. A line that tells of header fields nobody reads
-// (server-field-unknown ... field=Cold-Ms value=2969) showed that such fields come without the platform's prefix.
+// Guards against servers that get more than the limit that they name in their answers for all nodes together.
+//
+// The limit was 2.9 requests per second for two of ten servers, which got 7.4 each. They went on getting 7.5 and 7.2,
+// from ten and six of 18 nodes: 27 and 26 requests in 4 s where 22 are allowed. No node sent more than 13 of them, and no
+// retry was among them. Nodes ignored the limit; but had each node kept to it alone, the sum would still have been many
+// times the limit, as no node sees what a server gets from all. Such header fields come without the platform's prefix,
+// as an event about an unknown field showed (server-field-unknown ... field=Cold-Ms value=2969).
 
 #include <support/ServiceModel.hpp>
 
@@ -23,14 +24,14 @@
 
 constexpr double limit = 2.9;
 constexpr auto   span = 4s;
-constexpr auto   toldWithin = 1s;
-constexpr double most = 1.1 * limit * 4 + 5;
-constexpr auto   contact = 3s; // After the first word, until which nothing is held against the nodes
+constexpr auto   reactionTime = 1s;
+constexpr double maxInSpan = 1.1 * limit * 4 + 5;
+constexpr auto   graceTime = 3s; // After the first answer with the limit; spans that end earlier are not judged
 
 ////////////////////////////////////////////////////////////
-/// \brief Requests in 4 s that a server bears which names a limit
+/// \brief Return the requests in 4 s that a server bears if it names a limit, in requests per second
 ////////////////////////////////////////////////////////////
-double borneAt(double named)
+double maxBorneAt(double named)
 {
     return 1.5 * named * 4 + 5;
 }
@@ -57,9 +58,9 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief What two of ten servers got that named a limit 8 s after the beginning
+/// \brief Return what two of ten servers got that named a limit 8 s after the start
 ////////////////////////////////////////////////////////////
-std::vector<ModelLimited> play(std::uint64_t seed, double named, core::Duration time)
+std::vector<ModelLimited> simulate(std::uint64_t seed, double named, core::Duration time)
 {
     ServiceModel model = modelOf(seed);
     model.run(8s);
@@ -73,55 +74,56 @@
 
 BOOST_AUTO_TEST_SUITE(LimitIncidentTest)
 
-BOOST_AUTO_TEST_CASE(AServerThatNamesALimitGetsNoMoreFromAllNodesTogether)
+BOOST_AUTO_TEST_CASE(ServerWithALimitGetsNoMoreFromAllNodesTogether)
 {
     for (const std::uint64_t seed : {1U, 2U, 3U, 4U})
     {
-        for (const ModelLimited& server : play(seed, limit, 12s))
+        for (const ModelLimited& server : simulate(seed, limit, 12s))
         {
             BOOST_REQUIRE(server.limitReportedAt.has_value());
-            const std::size_t seen = server.maxInSpan(span, *server.limitReportedAt + toldWithin);
-            std::cout << "limit " << limit << ", seed " << seed << ": most requests in 4 s " << seen << '\n';
-            BOOST_TEST(static_cast<double>(seen) <= most);
+            const std::size_t most = server.maxInSpan(span, *server.limitReportedAt + reactionTime);
+            std::cout << "limit " << limit << ", seed " << seed << ": most requests in 4 s " << most << '\n';
+            BOOST_TEST(static_cast<double>(most) <= maxInSpan);
         }
     }
 }
 
-// What a server had got in the second before it named its limit is in the 4 s over which it is judged three seconds
-// later. The nodes began with everything open, as if nothing had been sent, and 21 and 22 requests came in 4 s where
-// 20.6 and 21.2 are allowed.
-BOOST_AUTO_TEST_CASE(WhatWasSentJustBeforeTheLimitWasNamedCounts)
+// Guards against nodes that start to limit a server as if nothing had been sent to it before. What the server got in the
+// second before it named its limit is part of the 4 s that are judged three seconds later; 21 and 22 requests arrived in
+// 4 s where 20.6 and 21.2 are allowed.
+BOOST_AUTO_TEST_CASE(RequestsSentJustBeforeTheLimitWasNamedCount)
 {
     std::size_t worst = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed)
     {
-        for (const ModelLimited& server : play(seed, limit, 6s))
+        for (const ModelLimited& server : simulate(seed, limit, 6s))
         {
             BOOST_REQUIRE(server.limitReportedAt.has_value());
-            worst = std::max(worst, server.maxInSpan(span, *server.limitReportedAt + contact - span));
+            worst = std::max(worst, server.maxInSpan(span, *server.limitReportedAt + graceTime - span));
         }
     }
-    std::cout << "limit " << limit << ": most in 4 s that end 3 s after the first word or later " << worst << '\n';
-    BOOST_TEST(static_cast<double>(worst) <= borneAt(limit));
+    std::cout << "limit " << limit << ": most in 4 s that end 3 s after the first answer with the limit or later "
+              << worst << '\n';
+    BOOST_TEST(static_cast<double>(worst) <= maxBorneAt(limit));
 }
 
-BOOST_AUTO_TEST_CASE(FromNodesThatKnewOfItAServerGetsNoMoreThanItBears)
+BOOST_AUTO_TEST_CASE(ServerGetsNoMoreThanItBearsFromNodesThatKnewTheLimit)
 {
     for (const double named : {0.5, 1.0, 2.9, 3.7})
     {
         std::size_t worst = 0;
         for (std::uint64_t seed = 1; seed <= 20; ++seed)
         {
-            for (const ModelLimited& server : play(seed, named, 8s))
+            for (const ModelLimited& server : simulate(seed, named, 8s))
             {
                 if (server.limitReportedAt)
                     worst =
-                        std::max(worst, server.maxFromInformedNodes(span, 500ms, *server.limitReportedAt + contact));
+                        std::max(worst, server.maxFromInformedNodes(span, 500ms, *server.limitReportedAt + graceTime));
             }
         }
-        std::cout << "limit " << named << ": most in 4 s from nodes that knew " << worst << ", borne " << borneAt(named)
-                  << '\n';
-        BOOST_TEST(static_cast<double>(worst) <= borneAt(named));
+        std::cout << "limit " << named << ": most in 4 s from nodes that knew " << worst << ", borne "
+                  << maxBorneAt(named) << '\n';
+        BOOST_TEST(static_cast<double>(worst) <= maxBorneAt(named));
     }
 }
 
--- a/test/balance/limits/Refusals.test.cpp
+++ b/test/balance/limits/Refusals.test.cpp
@@ -12,7 +12,7 @@
 using balance::StepKind;
 
 ////////////////////////////////////////////////////////////
-/// \brief A node before servers that all name a limit in each answer
+/// \brief A node with two servers that name a limit in each answer
 ////////////////////////////////////////////////////////////
 struct Fixture : support::OneRouteFixture
 {
@@ -23,7 +23,7 @@
         balancer.configure(declared, now);
     }
 
-    /// \brief What becomes of a request that arrives now; a server that gets it answers after 50 ms
+    /// \brief Admit a request now, answer it after 50 ms if it is sent to a server, and return the first step
     Step arrive()
     {
         balancer.admit(++ticket, {"a.example", "/read/1", now, 2s, {}}, now);
@@ -49,7 +49,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(LimitedRefusalsTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(WhatLimitedServersDoNotTakeIsRefusedAtOnceAsNotRun)
+BOOST_AUTO_TEST_CASE(RequestsBeyondTheLimitsAreRefusedAtOnceAsNotRun)
 {
     unsigned refused = 0;
     for (unsigned i = 0; i < 200; ++i)
@@ -64,21 +64,21 @@
         BOOST_TEST(step.refusal.comeBack >= 50ms);
         BOOST_TEST(step.refusal.comeBack <= 2s);
     }
-    // 12 s before two servers that take one request a second each, and what was open to begin with.
+    // In 12 s two servers accept one request per second each, and what is admitted before the limits are known.
     BOOST_TEST(refused >= 200U - 2 * 12U - 6U);
     BOOST_TEST(refused <= 200U - 2 * 10U);
     for (const auto& [server, count] : sent)
         BOOST_TEST(count <= 16U, server << " " << count);
 }
 
-BOOST_AUTO_TEST_CASE(WhatWasSentAndHeardIsToldToTheOtherNodes)
+BOOST_AUTO_TEST_CASE(LimitsAndSentRequestsAreReportedToOtherNodes)
 {
     (void)arrive();
     now += 60ms;
     const auto first = balancer.takeLimitNews();
     BOOST_REQUIRE_EQUAL(first.size(), 1U);
     BOOST_TEST(first[0].perSecond == 1.0);
-    BOOST_TEST(first[0].sent > 0.8); // It was sent before the limit was known
+    BOOST_TEST(first[0].sent > 0.8); // A request that was sent before the limit was known
     while (arrive().kind != StepKind::Forward)
         now += 60ms;
     double sent = 0;
@@ -89,14 +89,14 @@
     BOOST_TEST(!balancer.limits(now).empty());
 }
 
-BOOST_AUTO_TEST_CASE(WhatOtherNodesSentClosesAServerHereToo)
+BOOST_AUTO_TEST_CASE(RequestsOfOtherNodesUseUpALimitHereToo)
 {
     std::vector<deployment::LimitNews> news;
     for (const deployment::Instance& instance : declared.instances)
         news.push_back({9, deployment::lifeHash(instance), 1, 0ms, 1, -8});
     balancer.heardLimits(news, now);
     BOOST_TEST((arrive().refusal.reason == RefusalReason::AllLimited));
-    // Of servers that this node does not know nothing is kept.
+    // Reports about unknown servers are dropped.
     balancer.heardLimits(std::vector<deployment::LimitNews>{{9, 77, 1, 0ms, 1, -8}}, now);
     BOOST_TEST(balancer.limits(now).size() == 2U);
 }
--- a/test/balance/limits/SharedLimit.test.cpp
+++ b/test/balance/limits/SharedLimit.test.cpp
@@ -23,7 +23,7 @@
 
 BOOST_AUTO_TEST_SUITE(SharedLimitTest)
 
-BOOST_AUTO_TEST_CASE(WhatIsSentClosesAndTimeOpens)
+BOOST_AUTO_TEST_CASE(RequestsLowerTheProbabilityAndTimeRaisesIt)
 {
     SharedLimit limit = limitOf(3.5);
     BOOST_TEST(limit.admissionProbability(start) == 1.0);
@@ -38,7 +38,7 @@
     BOOST_TEST(limit.sentByAll() == 4.0);
 }
 
-BOOST_AUTO_TEST_CASE(WhatNobodySendsOpensItAgainHoweverLongNothingIsHeard)
+BOOST_AUTO_TEST_CASE(ProbabilityRecoversWithoutRequestsAndReports)
 {
     for (const double perSecond : {0.2, 3.5, 50.0})
     {
@@ -50,55 +50,55 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(HoweverLongNothingIsSentNoMoreThanARequestOrTwoIsInHand)
+BOOST_AUTO_TEST_CASE(AtMostARequestOrTwoIsSavedUp)
 {
     SharedLimit limit = limitOf(3.5);
     limit.recordSent(2, start + 60s);
     BOOST_TEST(limit.admissionProbability(start + 60s) < 0.5);
 }
 
-BOOST_AUTO_TEST_CASE(TheUrgentAreLetInBeforeTheOthers)
+BOOST_AUTO_TEST_CASE(UrgentRequestsAreAdmittedBeforeOthers)
 {
     SharedLimit limit = limitOf(3.5);
     limit.recordSent(2, start);
     const double draw = 0.9 * limit.admissionProbability(start);
     BOOST_TEST(limit.admits(draw, 0, start));
     BOOST_TEST(!limit.admits(draw, 1, start));
-    BOOST_TEST(limitOf(3.5).admits(0.99, 3, start)); // Nothing is short yet
+    BOOST_TEST(limitOf(3.5).admits(0.99, 3, start)); // The limit is not used up yet
 }
 
-BOOST_AUTO_TEST_CASE(OfWordsWithinAMomentTheLowestHoldsWhateverTheirOrder)
+BOOST_AUTO_TEST_CASE(LowestOfLimitsNamedWithinAShortTimeHoldsInAnyOrder)
 {
     SharedLimit limit = limitOf(3.5);
     BOOST_TEST(limit.recordLimit(9, start + 10ms, start + 10ms));
     BOOST_TEST(limit.perSecond(start + 10ms) == 3.5);
     BOOST_TEST(limit.perSecond(start + 300ms) == 9.0);
-    // An older word that other nodes told late: it holds for a moment, not longer.
+    // An older limit that other nodes report late holds for a short time only.
     limit.recordLimit(2, start + 5ms, start + 400ms);
     BOOST_TEST(limit.perSecond(start + 400ms) == 2.0);
     BOOST_TEST(limit.perSecond(start + 700ms) == 9.0);
-    // One that is far older says nothing any more.
+    // A limit that is much older is ignored.
     limit.recordLimit(8, start + 1s, start + 1s);
     limit.recordLimit(1, start + 5ms, start + 1s);
     BOOST_TEST(limit.perSecond(start + 1s) == 8.0);
 }
 
-BOOST_AUTO_TEST_CASE(ItEndsByAWordAndOpensWithinASecond)
+BOOST_AUTO_TEST_CASE(LimitEndsWhenUnlimitedIsNamedAndRecoversWithinSeconds)
 {
     SharedLimit limit = limitOf(3.5);
     limit.recordSent(20, start);
     BOOST_TEST(limit.recordLimit(unlimited, start + 1s, start + 1s));
     BOOST_TEST(!limit.hasEnded(start + 1s));
-    BOOST_TEST(limit.admissionProbability(start + 1100ms) < 0.5); // No herd
+    BOOST_TEST(limit.admissionProbability(start + 1100ms) < 0.5); // Nodes do not all come back at once
     limit.recordLimit(unlimited, start + 1500ms, start + 1500ms);
     limit.recordLimit(unlimited, start + 2s, start + 2s);
     limit.recordLimit(unlimited, start + 2500ms, start + 2500ms);
     BOOST_TEST(limit.hasEnded(start + 3s));
 }
 
-BOOST_AUTO_TEST_CASE(EvenAServerThatTakesNothingIsTriedNowAndThen)
+BOOST_AUTO_TEST_CASE(ServerWithALimitOfZeroIsTriedAtTimes)
 {
-    // Nobody would hear else that it takes requests again.
+    // Otherwise no node would learn that the server accepts requests again.
     SharedLimit limit = limitOf(0);
     limit.recordSent(1, start);
     BOOST_TEST(limit.admissionProbability(start) < 0.5);
@@ -107,7 +107,7 @@
     BOOST_TEST(limit.admissionProbability(start + 12s) == 1.0);
 }
 
-BOOST_AUTO_TEST_CASE(OddWordsOfOtherNodesAreBounded)
+BOOST_AUTO_TEST_CASE(ExtremeReportsOfOtherNodesAreBounded)
 {
     SharedLimit limit = limitOf(3.5);
     limit.recordSentElsewhere(1e9, -1e9, start);
