--- a/test/balance/notices/BackOff.test.cpp
+++ b/test/balance/notices/BackOff.test.cpp
@@ -19,10 +19,10 @@
 using balance::Step;
 using balance::StepKind;
 
-constexpr double longest = 1.25; // Times what was asked for, as nodes draw
+constexpr double maxExtension = 1.25; // Largest random extension of a back-off, as a multiple of the length asked for
 
 ////////////////////////////////////////////////////////////
-/// \brief A node before servers that may ask for a back-off
+/// \brief A node with two servers that may ask for a back-off
 ////////////////////////////////////////////////////////////
 struct Fixture : support::OneRouteFixture
 {
@@ -32,30 +32,30 @@
         balancer.configure(declared, now);
     }
 
-    void backsOff(std::size_t server, core::Duration length, NoticeSource source = NoticeSource::Answer)
+    void recordBackOff(std::size_t server, core::Duration length, NoticeSource source = NoticeSource::Answer)
     {
         const auto instance = std::make_shared<const deployment::Instance>(declared.instances[server]);
         balancer.noticed(instance, {false, length}, source, now);
     }
 
-    /// \brief What becomes of a request that arrives now
+    /// \brief Admit a request now and return the first step
     Step arrive()
     {
         balancer.admit(++ticket, {"a.example", "/read/1", now, 2s, {}}, now);
         return steps().at(0);
     }
 
-    std::vector<Step> end(balance::Ticket which, AttemptEnd how, unsigned status)
+    std::vector<Step> end(balance::Ticket endedTicket, AttemptEnd how, unsigned status)
     {
         Outcome outcome;
         outcome.end = how;
         outcome.status = status;
-        balancer.attemptEnded(which, 1, outcome, now);
+        balancer.attemptEnded(endedTicket, 1, outcome, now);
         return steps();
     }
 
-    /// \brief Whether a request that arrives now, and is answered, gets to a server
-    bool served()
+    /// \brief Admit a request now, answer it if it is sent to a server, and return whether it was
+    bool isServed()
     {
         const Step step = arrive();
         if (step.kind != StepKind::Forward)
@@ -68,7 +68,7 @@
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Five nodes before ten servers, with short requests
+/// \brief Five nodes with ten servers and short requests
 ////////////////////////////////////////////////////////////
 support::ServiceModel busyModel(std::uint64_t seed, double perSecond)
 {
@@ -93,10 +93,10 @@
 
 BOOST_FIXTURE_TEST_SUITE(BackOffTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(WhenAllBackOffCallersAreRefusedAtOnceAndToldWhenToComeBack)
+BOOST_AUTO_TEST_CASE(CallersAreRefusedAtOnceWithATimeToRetryWhenAllServersBackOff)
 {
-    backsOff(0, 3s);
-    backsOff(1, 5s);
+    recordBackOff(0, 3s);
+    recordBackOff(1, 5s);
     now += 1s;
     std::set<core::Duration> comeBacks;
     for (int i = 0; i < 20; ++i)
@@ -106,32 +106,32 @@
         BOOST_TEST((step.refusal.reason == RefusalReason::AllBackOff));
         BOOST_TEST(!step.refusal.mayHaveRun);
         BOOST_TEST(step.refusal.comeBack >= 2s);
-        BOOST_TEST(step.refusal.comeBack <= core::fromMilliseconds(1.5 * (longest * 3000 - 1000)));
+        BOOST_TEST(step.refusal.comeBack <= core::fromMilliseconds(1.5 * (maxExtension * 3000 - 1000)));
         comeBacks.insert(step.refusal.comeBack);
     }
     BOOST_TEST(comeBacks.size() > 10U);
 }
 
-BOOST_AUTO_TEST_CASE(AfterItAServerGetsOneRequestAtATimeUntilItHasTakenOne)
+BOOST_AUTO_TEST_CASE(AfterABackOffAServerGetsOneTrialAtATimeUntilItAcceptsOne)
 {
-    backsOff(0, 1s);
-    backsOff(1, 60s);
-    now += core::fromMilliseconds(longest * 1000);
+    recordBackOff(0, 1s);
+    recordBackOff(1, 60s);
+    now += core::fromMilliseconds(maxExtension * 1000);
     const Step trial = arrive();
     BOOST_REQUIRE((trial.kind == StepKind::Forward));
     BOOST_TEST(trial.instance->id == "s0");
     const auto first = ticket;
-    const Step beside = arrive();
-    BOOST_REQUIRE((beside.kind == StepKind::Refuse));
-    BOOST_TEST((beside.refusal.reason == RefusalReason::AllBackOff));
-    BOOST_TEST(beside.refusal.comeBack <= 1s);
+    const Step second = arrive();
+    BOOST_REQUIRE((second.kind == StepKind::Refuse));
+    BOOST_TEST((second.refusal.reason == RefusalReason::AllBackOff));
+    BOOST_TEST(second.refusal.comeBack <= 1s);
     now += 50ms;
     (void)end(first, AttemptEnd::Answered, 200);
     BOOST_TEST((arrive().kind == StepKind::Forward));
     BOOST_TEST((arrive().kind == StepKind::Forward));
 }
 
-BOOST_AUTO_TEST_CASE(ARequestOfBeforeThatGoesOnForLongDoesNotKeepOthersAway)
+BOOST_AUTO_TEST_CASE(LongRequestFromBeforeABackOffDoesNotBlockTheTrial)
 {
     std::map<std::string, balance::Ticket> older;
     for (int i = 0; i < 4; ++i)
@@ -140,17 +140,17 @@
         older[step.instance->id] = ticket;
     }
     BOOST_REQUIRE_EQUAL(older.size(), 2U);
-    backsOff(0, 1s);
-    backsOff(1, 1s);
-    now += core::fromMilliseconds(longest * 1000);
+    recordBackOff(0, 1s);
+    recordBackOff(1, 1s);
+    now += core::fromMilliseconds(maxExtension * 1000);
     BOOST_TEST((arrive().kind == StepKind::Forward));
 }
 
-BOOST_AUTO_TEST_CASE(ATrialThatIsNotTurnedAwayAtOnceIsFollowedByAnother)
+BOOST_AUTO_TEST_CASE(TrialThatIsNotRejectedAtOnceIsFollowedByAnother)
 {
-    backsOff(0, 1s);
-    backsOff(1, 60s);
-    now += core::fromMilliseconds(longest * 1000);
+    recordBackOff(0, 1s);
+    recordBackOff(1, 60s);
+    now += core::fromMilliseconds(maxExtension * 1000);
     BOOST_TEST((arrive().kind == StepKind::Forward));
     now += 200ms;
     BOOST_TEST((arrive().kind == StepKind::Refuse));
@@ -159,19 +159,19 @@
     BOOST_TEST((arrive().kind == StepKind::Refuse));
 }
 
-BOOST_AUTO_TEST_CASE(NeitherAShorterWordNorAnOlderAnswerEndsIt)
+BOOST_AUTO_TEST_CASE(NeitherAShorterBackOffNorAnOlderAnswerEndsABackOff)
 {
     const Step older = arrive();
     const auto first = ticket;
-    backsOff(0, 3s);
-    backsOff(1, 3s);
+    recordBackOff(0, 3s);
+    recordBackOff(1, 3s);
     now += 1s;
-    backsOff(0, 100ms);
-    backsOff(1, 100ms, NoticeSource::HealthAnswer);
+    recordBackOff(0, 100ms);
+    recordBackOff(1, 100ms, NoticeSource::HealthAnswer);
     (void)end(first, AttemptEnd::Answered, 200);
     now += 1900ms;
-    BOOST_TEST(!served());
-    // What was answered before its end does not spare the server the trial after it.
+    BOOST_TEST(!isServed());
+    // A request that was answered before the back-off ended does not replace the trial after it.
     now += 1s;
     (void)arrive();
     (void)arrive();
@@ -179,59 +179,60 @@
     BOOST_TEST((older.kind == StepKind::Forward));
 }
 
-BOOST_AUTO_TEST_CASE(ALongerWordOfALaterAnswerHolds)
+BOOST_AUTO_TEST_CASE(LongerBackOffOfALaterAnswerHolds)
 {
-    backsOff(0, 1s);
-    backsOff(1, 1s);
+    recordBackOff(0, 1s);
+    recordBackOff(1, 1s);
     now += 500ms;
-    backsOff(0, 4s);
-    backsOff(1, 4s);
+    recordBackOff(0, 4s);
+    recordBackOff(1, 4s);
     now += 3900ms;
-    BOOST_TEST(!served());
+    BOOST_TEST(!isServed());
     now += 1200ms;
-    BOOST_TEST(served());
+    BOOST_TEST(isServed());
 }
 
-BOOST_AUTO_TEST_CASE(ACallerThatOneServerTurnedAwayIsNotToldToWaitForThatServer)
+BOOST_AUTO_TEST_CASE(CallerRejectedByOneServerIsNotToldToWaitForItsBackOff)
 {
     const Step step = arrive();
     const auto which = static_cast<std::size_t>(step.instance->id == "s0" ? 0 : 1);
-    backsOff(which, 30s);
-    // A young node has no retries to give, so the caller is to come back; the other server may take it then.
+    recordBackOff(which, 30s);
+    // A newly started node has no retry budget, so the caller is told to come back; the other server may accept it then.
     const auto next = end(ticket, AttemptEnd::NotRun, 503);
     BOOST_REQUIRE((next.at(0).kind == StepKind::Refuse));
     BOOST_TEST(next[0].refusal.comeBack <= 2s);
-    BOOST_TEST(served());
+    BOOST_TEST(isServed());
 }
 
-BOOST_AUTO_TEST_CASE(AnEntryThatComesBackDoesNotEndItAndANewLifeDoes)
+BOOST_AUTO_TEST_CASE(BackOffEndsWithANewLifeButNotWithARestoredEntry)
 {
-    backsOff(0, 10s);
-    backsOff(1, 10s);
+    recordBackOff(0, 10s);
+    recordBackOff(1, 10s);
     deployment::Declared without = declared;
     without.instances.clear();
     balancer.configure(without, now);
     balancer.configure(declared, now);
-    BOOST_TEST(!served());
+    BOOST_TEST(!isServed());
     declared.instances[1].born = 9;
     balancer.configure(declared, now);
-    BOOST_TEST(served());
+    BOOST_TEST(isServed());
 }
 
-BOOST_AUTO_TEST_CASE(ServersThatLeaveAndOthersThatBackOffMakeCallersWaitForTheLatter)
+BOOST_AUTO_TEST_CASE(CallersWaitForServersThatBackOffWhenTheOthersLeave)
 {
     const auto instance = std::make_shared<const deployment::Instance>(declared.instances[0]);
     balancer.noticed(instance, {true, {}}, NoticeSource::Answer, now);
     now += 5s;
-    backsOff(1, 3s);
+    recordBackOff(1, 3s);
     const Step step = arrive();
     BOOST_REQUIRE((step.kind == StepKind::Refuse));
     BOOST_TEST((step.refusal.reason == RefusalReason::AllBackOff));
     BOOST_TEST(step.refusal.comeBack >= 3s);
 }
 
-// The address of a server may go to another one before its own entry is gone; that one turns requests away.
-BOOST_AUTO_TEST_CASE(AServerThatIsNotAtItsAddressAnyMoreIsLeftAloneForAWhile)
+// The address of a server may pass to another server before the old entry is removed; the new server rejects the
+// requests with status 421.
+BOOST_AUTO_TEST_CASE(ServerWhoseAddressPassedToAnotherGetsNoRequestsForAWhile)
 {
     const Step step = arrive();
     Outcome    outcome;
@@ -252,11 +253,12 @@
     BOOST_TEST((changes[0].source == NoticeSource::Misdirected));
 }
 
-// All servers of a service ask five busy nodes for three seconds and take requests again after half a second.
-BOOST_AUTO_TEST_CASE(NodesDoNotAllComeBackInTheSameInstant)
+// All servers of a service ask five busy nodes for a back-off of three seconds, and accept requests again after half a
+// second.
+BOOST_AUTO_TEST_CASE(NodesDoNotAllRetryInTheSameInstant)
 {
     constexpr double perSecond = 600;
-    constexpr auto   first = 50ms; // From the first request after the back-off on
+    constexpr auto   first = 50ms; // After the first request that follows the back-off
     for (const std::uint64_t seed : {1U, 2U, 3U})
     {
         support::ServiceModel model = busyModel(seed, perSecond);
@@ -266,28 +268,28 @@
         model.run(500ms);
         for (const std::string& id : model.runningServers())
             model.setBackOff(id, 0s);
-        const core::Timestamp mended = model.now() + 1s; // Nothing is under way any more
+        const core::Timestamp measureFrom = model.now() + 1s; // No earlier request is under way any more
         model.run(5s);
-        std::vector<core::Timestamp> got;
+        std::vector<core::Timestamp> arrivals;
         for (const std::string& id : model.runningServers())
         {
             BOOST_TEST(model.noticed(id).maxInBackOff(500ms) == 0U);
             for (const auto& [node, at] : model.noticed(id).arrivals)
             {
-                if (at > mended)
-                    got.push_back(at);
+                if (at > measureFrom)
+                    arrivals.push_back(at);
             }
         }
-        BOOST_REQUIRE(!got.empty());
-        const core::Timestamp begin = *std::min_element(got.begin(), got.end());
+        BOOST_REQUIRE(!arrivals.empty());
+        const core::Timestamp begin = *std::min_element(arrivals.begin(), arrivals.end());
         const auto            atOnce =
-            std::count_if(got.begin(), got.end(), [&](core::Timestamp at) { return at < begin + first; });
+            std::count_if(arrivals.begin(), arrivals.end(), [&](core::Timestamp at) { return at < begin + first; });
         std::cout << "seed " << seed << ": " << atOnce << " requests in the first 50 ms after a back-off of all\n";
-        // No more than at any other time.
+        // No more requests than at any other time.
         BOOST_TEST(static_cast<double>(atOnce) <= perSecond * core::toSeconds(first));
         model.beginCount();
         model.run(3s);
-        model.setRate(0, 0.001); // What is under way comes to its end
+        model.setRate(0, 0.001); // Lets the requests under way end
         model.run(3s);
         BOOST_TEST(model.tally(0).servedShare() >= 0.99);
     }
--- a/test/balance/notices/Incident.test.cpp
+++ b/test/balance/notices/Incident.test.cpp
@@ -1,4 +1,5 @@
-// Servers that had said in their answers that they leave, or asked by Retry-After for no requests, went on getting them.
+// Guards against servers that still get requests after they said in their answers that they leave, or asked for a
+// back-off by Retry-After.
 
 #include <support/ServiceModel.hpp>
 
@@ -15,9 +16,10 @@
 using support::ModelSettings;
 using support::ServiceModel;
 
-constexpr auto     drain = 2s;       // From the word of a server that it leaves to the last request it may get
-constexpr auto     reaction = 500ms; // From a refusal to the last request that was under way
-constexpr auto     backOff = 3s;     // That servers ask for
+// From a node's first answer with the notice that a server leaves to the last request that the node may send there.
+constexpr auto     drain = 2s;
+constexpr auto     reaction = 500ms; // From a rejection until no request is under way any more
+constexpr auto     backOff = 3s;     // Length that servers ask for
 constexpr unsigned nodes = 18;
 constexpr auto     seeds = {1U, 2U, 3U, 4U};
 
@@ -47,7 +49,7 @@
 
 BOOST_AUTO_TEST_SUITE(ServerNoticesIncidentTest)
 
-BOOST_AUTO_TEST_CASE(AServerWhoseAnswersSayThatItLeavesGetsNothingOnceThatIsKnown)
+BOOST_AUTO_TEST_CASE(LeavingServerGetsNoRequestsFromNodesThatKnow)
 {
     for (const std::uint64_t seed : seeds)
     {
@@ -66,7 +68,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(AServerThatAsksForABackOffGetsNothingUntilItIsOver)
+BOOST_AUTO_TEST_CASE(ServerGetsNoRequestsDuringItsBackOff)
 {
     for (const std::uint64_t seed : seeds)
     {
@@ -86,7 +88,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(CallersAreServedByTheOthersWhileSomeServersBackOff)
+BOOST_AUTO_TEST_CASE(CallersAreServedByOtherServersWhileSomeBackOff)
 {
     for (const std::uint64_t seed : seeds)
     {
@@ -96,18 +98,18 @@
         model.setBackOff("s6", backOff);
         model.beginCount();
         model.run(12s);
-        model.setRate(0, 0.001); // What is under way comes to its end
+        model.setRate(0, 0.001); // Lets the requests under way end
         model.run(3s);
-        const std::size_t wasted = model.noticed("s3").backOffs.size();
-        std::cout << "seed " << seed << ": " << model.tally(0).servedShare() << " served, " << wasted
+        const std::size_t rejected = model.noticed("s3").backOffs.size();
+        std::cout << "seed " << seed << ": " << model.tally(0).servedShare() << " served, " << rejected
                   << " requests at s3 turned away\n";
         BOOST_TEST(model.tally(0).servedShare() >= 0.99);
-        BOOST_TEST(wasted <= nodes * (12s / backOff + 1));
+        BOOST_TEST(rejected <= nodes * (12s / backOff + 1));
     }
 }
 
-// A whole service is replaced, and the new servers come 1.5 s after the old ones said that they leave.
-BOOST_AUTO_TEST_CASE(WhenAllServersLeaveAndOthersComeSoonCallersAreServedMeanwhile)
+// All servers of a service are replaced; the new ones join 1.5 s after the old ones said that they leave.
+BOOST_AUTO_TEST_CASE(CallersAreServedWhileAllServersAreReplaced)
 {
     for (const std::uint64_t seed : seeds)
     {
@@ -121,7 +123,7 @@
         for (unsigned i = 0; i < old.size(); ++i)
             model.join({"new" + std::to_string(i), "portal", "dc" + std::to_string(i % 4)});
         model.run(8s);
-        model.setRate(0, 0.001); // What is under way comes to its end
+        model.setRate(0, 0.001); // Lets the requests under way end
         model.run(3s);
         std::cout << "seed " << seed << ": " << model.tally(0).servedShare() << " served, "
                   << model.tally(0).targetShare() << " in time\n";
--- a/test/balance/notices/Leaving.test.cpp
+++ b/test/balance/notices/Leaving.test.cpp
@@ -15,7 +15,7 @@
 using balance::StepKind;
 
 ////////////////////////////////////////////////////////////
-/// \brief A node before servers that may say that they leave
+/// \brief A node with two servers that may say that they leave
 ////////////////////////////////////////////////////////////
 struct Fixture : support::OneRouteFixture
 {
@@ -26,14 +26,14 @@
         balancer.configure(declared, now);
     }
 
-    /// \brief Let a server say that it leaves
-    void leaves(std::size_t server, NoticeSource source = NoticeSource::Answer)
+    /// \brief Record the notice of a server that it leaves
+    void recordLeaving(std::size_t server, NoticeSource source = NoticeSource::Answer)
     {
         const auto instance = std::make_shared<const deployment::Instance>(declared.instances[server]);
         balancer.noticed(instance, {true, {}}, source, now);
     }
 
-    /// \brief What becomes of a request that arrives now; a server that gets it answers after 50 ms
+    /// \brief Admit a request now, answer it after 50 ms if it is sent to a server, and return the first step
     Step arrive()
     {
         balancer.admit(++ticket, {"a.example", "/read/1", now, 2s, {}}, now);
@@ -48,8 +48,8 @@
         return step;
     }
 
-    /// \brief Requests of twenty that each server gets
-    std::map<std::string, unsigned> spread()
+    /// \brief Admit twenty requests and return how many each server got
+    std::map<std::string, unsigned> spreadRequests()
     {
         std::map<std::string, unsigned> got;
         for (int i = 0; i < 20; ++i)
@@ -69,22 +69,22 @@
 
 BOOST_FIXTURE_TEST_SUITE(LeavingServersTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(AServerThatLeavesGetsNothingNew)
+BOOST_AUTO_TEST_CASE(LeavingServerGetsNoNewRequests)
 {
-    leaves(0);
-    BOOST_TEST(spread()["s0"] == 0U);
-    leaves(1, NoticeSource::HealthAnswer);
+    recordLeaving(0);
+    BOOST_TEST(spreadRequests()["s0"] == 0U);
+    recordLeaving(1, NoticeSource::HealthAnswer);
     now += 2s;
-    BOOST_TEST(spread().empty());
+    BOOST_TEST(spreadRequests().empty());
     BOOST_TEST(balancer.takeNotices().size() == 2U);
     BOOST_TEST(balancer.notices(now).size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(ARequestThatIsTriedAgainGoesElsewhere)
+BOOST_AUTO_TEST_CASE(RetryIsNotSentToALeavingServer)
 {
     balancer.admit(++ticket, {"a.example", "/read/1", now, 2s, {}}, now);
     const auto first = steps().at(0);
-    leaves(first.instance->id == "s0" ? 1 : 0);
+    recordLeaving(first.instance->id == "s0" ? 1 : 0);
     Outcome outcome;
     outcome.end = balance::AttemptEnd::NotRun;
     outcome.status = 503;
@@ -93,16 +93,16 @@
     BOOST_TEST((steps().at(0).kind == StepKind::Refuse));
 }
 
-BOOST_AUTO_TEST_CASE(AnEntryThatComesBackDoesNotUndoIt)
+BOOST_AUTO_TEST_CASE(RestoredEntryDoesNotEndTheNotice)
 {
-    leaves(0);
+    recordLeaving(0);
     deployment::Declared without = declared;
     without.instances.erase(without.instances.begin());
     balancer.configure(without, now);
     balancer.configure(declared, now + 1s);
     now += 1s;
-    BOOST_TEST(spread()["s0"] == 0U);
-    // The same by single changes.
+    BOOST_TEST(spreadRequests()["s0"] == 0U);
+    // The same by incremental configuration changes.
     deployment::Declared change;
     change.deployment = declared.deployment;
     change.whole = false;
@@ -111,27 +111,27 @@
     change.gone.clear();
     change.instances = {declared.instances[0]};
     balancer.configure(change, now);
-    BOOST_TEST(spread()["s0"] == 0U);
+    BOOST_TEST(spreadRequests()["s0"] == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(ANewLifeUnderTheSameIdBeginsWithoutIt)
+BOOST_AUTO_TEST_CASE(NewLifeUnderTheSameIdStartsWithoutTheNotice)
 {
-    leaves(0);
+    recordLeaving(0);
     const auto earlier = std::make_shared<const deployment::Instance>(declared.instances[0]);
     declared.instances[0].born = 8;
     balancer.configure(declared, now);
-    leaves(1);
-    BOOST_TEST(spread()["s0"] == 20U);
-    // What the earlier life had said is heard late.
+    recordLeaving(1);
+    BOOST_TEST(spreadRequests()["s0"] == 20U);
+    // A notice of the earlier life arrives late.
     balancer.noticed(earlier, {true, {}}, NoticeSource::Answer, now);
     now += 2s;
-    BOOST_TEST(spread()["s0"] == 20U);
+    BOOST_TEST(spreadRequests()["s0"] == 20U);
 }
 
-BOOST_AUTO_TEST_CASE(WhenAllLeaveTheyServeOnForAWhileAndThenCallersAreRefusedAtOnce)
+BOOST_AUTO_TEST_CASE(WhenAllServersLeaveTheyServeForAWhileAndThenCallersAreRefused)
 {
-    leaves(0);
-    leaves(1);
+    recordLeaving(0);
+    recordLeaving(1);
     BOOST_TEST((arrive().kind == StepKind::Forward));
     now += 900ms;
     BOOST_TEST((arrive().kind == StepKind::Forward));
@@ -143,17 +143,17 @@
     BOOST_TEST(step.refusal.comeBack > 0ms);
 }
 
-BOOST_AUTO_TEST_CASE(AServerThatJoinsIsUsedAtOnceWhenAllOthersLeave)
+BOOST_AUTO_TEST_CASE(JoiningServerIsUsedAtOnceWhenAllOthersLeave)
 {
-    leaves(0);
-    leaves(1);
+    recordLeaving(0);
+    recordLeaving(1);
     declared.instances.push_back(declared.instances[1]);
     declared.instances.back().id = "s2";
     balancer.configure(declared, now);
-    BOOST_TEST(spread()["s2"] == 20U);
+    BOOST_TEST(spreadRequests()["s2"] == 20U);
 }
 
-BOOST_AUTO_TEST_CASE(OfManyThatWentOnlySoMuchIsKept)
+BOOST_AUTO_TEST_CASE(NoticesOfRemovedServersAreBounded)
 {
     const deployment::Instance like = declared.instances[1];
     deployment::Declared       change;
@@ -172,7 +172,7 @@
         balancer.configure(change, now);
     }
     (void)balancer.takeNotices();
-    // The newest is known still, the oldest is heard anew.
+    // The notice of the newest removed server is still in force; that of the oldest was dropped.
     change.gone.clear();
     change.instances = {like, like};
     change.instances[0].id = "gone-0";
