--- a/include/sailpath/balance/CrashLedger.hpp
+++ b/include/sailpath/balance/CrashLedger.hpp
@@ -14,7 +14,7 @@
 ////////////////////////////////////////////////////////////
 /// \brief Finds the requests that end the servers that run them, and holds their quarantines
 ///
-/// Load pattern: a request ends each server that begins to run it. It comes
+/// Load pattern: a request ends each server that begins to run it and comes
 /// again every few seconds at any node, under a new id. Each end takes along all
 /// requests that run on the server, so most requests that are seen at a server's
 /// end did not cause it. Servers also end in large numbers for other reasons.
@@ -62,7 +62,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Return the quarantines that were added, widened or withdrawn since the last call
     ///
-    /// A withdrawn one has ended by the time it is returned.
+    /// The `until` of a withdrawn quarantine has passed.
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::vector<deployment::Quarantine> takeChanged();
     [[nodiscard]] std::vector<deployment::Quarantine> listInForce(core::Timestamp now) const;
@@ -83,7 +83,7 @@
     struct Presence
     {
         std::vector<std::uint32_t> servers;
-        core::Timestamp            lastEndAt{}; //!< When this node last heard of an end
+        core::Timestamp            lastEndAt{}; //!< When the last end was recorded
     };
 
     [[nodiscard]] static bool wasSentAfter(const EvidenceItem& last, const deployment::ServerEnd& end,
@@ -106,7 +106,7 @@
     std::map<core::ContentHash, deployment::Quarantine> m_quarantines; //!< In force or expired
     std::map<core::ContentHash, Evidence>               m_explained;   //!< Ends that quarantined requests caused
     std::map<core::ContentHash, Presence>        m_present; //!< All servers at whose end a request was, counted or not
-    std::map<core::ContentHash, core::Timestamp> m_withdrawn;  //!< Until when the store's copies are ignored
+    std::map<core::ContentHash, core::Timestamp> m_withdrawn;  //!< Until when stored copies are ignored
     std::map<std::uint32_t, core::Timestamp>     m_reportedAt; //!< When ends of servers were reported, for a second
     std::vector<deployment::Quarantine>          m_changed;    //!< Not taken yet
 };
--- a/include/sailpath/balance/LimitState.hpp
+++ b/include/sailpath/balance/LimitState.hpp
@@ -19,7 +19,7 @@
     std::shared_ptr<const deployment::Instance> instance;                //!< The limited instance
     double                                      perSecond{unlimited};    //!< Limit for all nodes together, requests/s
     core::Timestamp                             limitedSince{};          //!< When this node learned of a limit
-    double                                      admissionProbability{1}; //!< That a request may be sent there, 0 to 1
+    double                                      admissionProbability{1}; //!< Chance that a request is sent, 0 to 1
     double                                      sentHere{0};  //!< Requests sent by this node since `limitedSince`
     double                                      sentByAll{0}; //!< Requests sent by all nodes, as far as they reported
 };
--- a/include/sailpath/balance/NoticeState.hpp
+++ b/include/sailpath/balance/NoticeState.hpp
@@ -37,8 +37,8 @@
     [[nodiscard]] bool           mayReceiveRequest(core::Timestamp now) const; //!< No back-off or open trial forbids it
     [[nodiscard]] bool           isLeaving() const;                            //!< The instance shuts down
     [[nodiscard]] bool           isBackingOff(core::Timestamp now) const;      //!< It accepts no requests now
-    [[nodiscard]] core::Duration leavingFor(core::Timestamp now) const;  //!< Since it said it leaves; 0 if it did not
-    [[nodiscard]] core::Duration backOffLeft(core::Timestamp now) const; //!< Until it accepts requests again
+    [[nodiscard]] core::Duration leavingFor(core::Timestamp now) const;  //!< Since its notice arrived; 0 without one
+    [[nodiscard]] core::Duration backOffLeft(core::Timestamp now) const; //!< Until the back-off ends; 0 without one
     [[nodiscard]] bool           empty() const;                          //!< No notice was ever recorded
     [[nodiscard]] bool           isInForce(core::Timestamp now) const;   //!< The instance leaves or backs off
 
--- a/include/sailpath/balance/ServerNotice.hpp
+++ b/include/sailpath/balance/ServerNotice.hpp
@@ -54,7 +54,7 @@
 {
     std::shared_ptr<const deployment::Instance> instance;       //!< The instance that gave the notices
     bool                                        leaving{false}; //!< The instance shuts down
-    core::Duration                              leavingFor{};   //!< Time since this was first heard
+    core::Duration                              leavingFor{};   //!< Time since the notice first arrived
     core::Duration                              backOffLeft{};  //!< Time until the instance accepts requests again
 };
 
--- a/include/sailpath/balance/SharedLimit.hpp
+++ b/include/sailpath/balance/SharedLimit.hpp
@@ -71,10 +71,10 @@
     [[nodiscard]] bool hasEnded(core::Timestamp now) const; //!< The limit has no effect any more
     [[nodiscard]] double
     log2Probability(core::Timestamp now) const; //!< Of admission, binary logarithm; above 0: requests are saved up
-    [[nodiscard]] double          admissionProbability(core::Timestamp now) const; //!< That a request may go, 0 to 1
+    [[nodiscard]] double          admissionProbability(core::Timestamp now) const; //!< Of one request, 0 to 1
     [[nodiscard]] double          perSecond(core::Timestamp now) const;            //!< Limit in force, requests/s
     [[nodiscard]] double          lastLimit() const;    //!< Limit that the instance named last, requests/s
-    [[nodiscard]] core::Timestamp lastLimitAt() const;  //!< When the instance named its last limit
+    [[nodiscard]] core::Timestamp lastLimitAt() const;  //!< When the instance named its last limits last limit
     [[nodiscard]] double          sentHere() const;     //!< Requests sent by this node since `limitedSince`
     [[nodiscard]] double          sentByAll() const;    //!< Requests sent by all nodes, as far as they reported
     [[nodiscard]] core::Timestamp limitedSince() const; //!< When limiting began
@@ -84,7 +84,7 @@
 
     core::Timestamp m_limitedSince;         //!< When limiting began
     double          m_lastLimit{unlimited}; //!< Limit that the instance named last, requests/s
-    core::Timestamp m_lastLimitAt{};        //!< When the instance named it
+    core::Timestamp m_lastLimitAt{};        //!< When the instance named its last limit
     double          m_lowLimit{unlimited};  //!< Lower limit that arrived shortly before, requests/s
     core::Timestamp m_lowLimitUntil{};      //!< Until when `m_lowLimit` holds
     SharedRate      m_rate;                 //!< Admission probability
--- a/include/sailpath/balance/WorkspaceQuotas.hpp
+++ b/include/sailpath/balance/WorkspaceQuotas.hpp
@@ -24,7 +24,7 @@
     std::string workspace;               //!< Name
     double      perSecond{0};            //!< Declared quota for all nodes together, requests/s
     double      burst{0};                //!< Declared requests beyond the rate
-    double      admissionProbability{1}; //!< That a request is let in, 0 to 1
+    double      admissionProbability{1}; //!< Probability that a request is let in, 0 to 1
     double      sentHere{0};             //!< Requests let in by this node since the workspace has a quota
     double      sentByAll{0};            //!< Requests let in by all nodes, as far as they reported
 };
@@ -40,8 +40,8 @@
 /// first one, so that the requests not yet reported cancel out on average.
 /// Reporting each request would keep the whole fleet busy with reports.
 ///
-/// A node that receives nothing from others assumes that each of them lets in as
-/// much as it does itself.
+/// A node that receives no reports assumes that each other node lets in as many
+/// requests as this node does.
 ///
 /// Trade-off: the sizes of quanta and of doublings are parts of the tolerated
 /// excess, so a smaller tolerance costs more reports.
--- a/src/sailpath/balance/NoticeState.cpp
+++ b/src/sailpath/balance/NoticeState.cpp
@@ -6,7 +6,7 @@
 {
 namespace
 {
-constexpr double maxSpread = 0.25;                           // Largest extension of a back-off, as a part of it
+constexpr double maxSpread = 0.25;                           // Largest extension, as a part of the back-off
 constexpr auto   trialWait = std::chrono::milliseconds{250}; // A server rejects a request well within this time
 
 } // namespace
@@ -41,7 +41,7 @@
 ////////////////////////////////////////////////////////////
 void NoticeState::recordAccepted(core::Timestamp sentAt)
 {
-    // A request that was accepted before the back-off tells nothing about the time after it.
+    // A request that was sent before the end of the back-off says nothing about the time after it.
     m_onTrial = m_onTrial && sentAt < m_backOffUntil;
 }
 
