--- a/include/sailpath/balance/ServicePool.hpp
+++ b/include/sailpath/balance/ServicePool.hpp
@@ -165,7 +165,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Apply a notice of an instance; notices of an earlier life of the instance are ignored
     ///
-    /// \param spread See `NoticeState::hear`
+    /// \param spread See `NoticeState::record`
     ///
     /// \return The part of the notice that is new
     ////////////////////////////////////////////////////////////
--- a/src/sailpath/balance/NoticeState.cpp
+++ b/src/sailpath/balance/NoticeState.cpp
@@ -6,13 +6,13 @@
 {
 namespace
 {
-constexpr double longestSpread = 0.25;                       // Part of a back-off that it is made longer by at the most
-constexpr auto   trialWait = std::chrono::milliseconds{250}; // A server turns away what it does not take well within it
+constexpr double maxSpread = 0.25;                           // Largest extension, as a part of the back-off
+constexpr auto   trialWait = std::chrono::milliseconds{250}; // A server rejects a request well within this time
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-ServerNotice NoticeState::hear(const ServerNotice& notice, double spread, core::Timestamp now)
+ServerNotice NoticeState::record(const ServerNotice& notice, double spread, core::Timestamp now)
 {
     ServerNotice news;
     if (notice.leaving && !m_leavingSince)
@@ -22,8 +22,8 @@
     }
     if (notice.backOff.count() > 0)
     {
-        news.backOff = backsOff(now) ? core::Duration{} : notice.backOff;
-        const auto length = core::fromMilliseconds(core::toMilliseconds(notice.backOff) * (1 + longestSpread * spread));
+        news.backOff = isBackingOff(now) ? core::Duration{} : notice.backOff;
+        const auto length = core::fromMilliseconds(core::toMilliseconds(notice.backOff) * (1 + maxSpread * spread));
         m_backOffUntil = std::max<core::Timestamp>(m_backOffUntil, now + length);
         m_onTrial = true;
         m_trialAt.reset();
@@ -32,34 +32,34 @@
 }
 
 ////////////////////////////////////////////////////////////
-void NoticeState::sent(core::Timestamp now)
+void NoticeState::recordSent(core::Timestamp now)
 {
-    if (m_onTrial && !backsOff(now))
+    if (m_onTrial && !isBackingOff(now))
         m_trialAt = now;
 }
 
 ////////////////////////////////////////////////////////////
-void NoticeState::accepted(core::Timestamp sentAt)
+void NoticeState::recordAccepted(core::Timestamp sentAt)
 {
-    // What it took before it asked for a back-off says nothing of the time after.
+    // A request that was sent before the end of the back-off says nothing about the time after it.
     m_onTrial = m_onTrial && sentAt < m_backOffUntil;
 }
 
 ////////////////////////////////////////////////////////////
-bool NoticeState::takesOneMore(core::Timestamp now) const
+bool NoticeState::mayReceiveRequest(core::Timestamp now) const
 {
-    const bool trialIsOut = m_trialAt && now - *m_trialAt < trialWait;
-    return !backsOff(now) && (!m_onTrial || !trialIsOut);
+    const bool trialIsOpen = m_trialAt && now - *m_trialAt < trialWait;
+    return !isBackingOff(now) && (!m_onTrial || !trialIsOpen);
 }
 
 ////////////////////////////////////////////////////////////
-bool NoticeState::leaving() const
+bool NoticeState::isLeaving() const
 {
     return m_leavingSince.has_value();
 }
 
 ////////////////////////////////////////////////////////////
-bool NoticeState::backsOff(core::Timestamp now) const
+bool NoticeState::isBackingOff(core::Timestamp now) const
 {
     return now < m_backOffUntil;
 }
@@ -79,13 +79,13 @@
 ////////////////////////////////////////////////////////////
 bool NoticeState::empty() const
 {
-    return !leaving() && m_backOffUntil == core::Timestamp{};
+    return !isLeaving() && m_backOffUntil == core::Timestamp{};
 }
 
 ////////////////////////////////////////////////////////////
-bool NoticeState::inForce(core::Timestamp now) const
+bool NoticeState::isInForce(core::Timestamp now) const
 {
-    return leaving() || backsOff(now);
+    return isLeaving() || isBackingOff(now);
 }
 
 } // namespace sailpath::balance
--- a/src/sailpath/balance/ServerView.cpp
+++ b/src/sailpath/balance/ServerView.cpp
@@ -96,7 +96,7 @@
 ////////////////////////////////////////////////////////////
 bool ServerView::updateLimit(double perSecond, core::Timestamp at, double doublings, core::Timestamp now)
 {
-    if (m_limit && m_limit->over(now))
+    if (m_limit && m_limit->hasEnded(now))
         m_limit.reset();
     if (!m_limit && perSecond == unlimited)
         return false;
@@ -104,18 +104,18 @@
     {
         m_limit.emplace(doublings, now);
         // The server also counts the requests that it got just before; without them it would get more than it can take.
-        const bool changed = m_limit->told(perSecond, at, now);
-        m_limit->sent(recentRequests(now), now);
+        const bool changed = m_limit->recordLimit(perSecond, at, now);
+        m_limit->recordSent(recentRequests(now), now);
         return changed;
     }
-    return m_limit->told(perSecond, at, now);
+    return m_limit->recordLimit(perSecond, at, now);
 }
 
 ////////////////////////////////////////////////////////////
 void ServerView::sentElsewhere(double requests, double doublings, core::Timestamp now)
 {
     if (m_limit)
-        m_limit->sentElsewhere(requests, doublings, now);
+        m_limit->recordSentElsewhere(requests, doublings, now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -127,19 +127,19 @@
 ////////////////////////////////////////////////////////////
 const SharedLimit* ServerView::limit(core::Timestamp now) const
 {
-    return m_limit && !m_limit->over(now) ? &*m_limit : nullptr;
+    return m_limit && !m_limit->hasEnded(now) ? &*m_limit : nullptr;
 }
 
 ////////////////////////////////////////////////////////////
 ServerNotice ServerView::applyNotice(const ServerNotice& notice, double spread, core::Timestamp now)
 {
-    return m_notices.hear(notice, spread, now);
+    return m_notices.record(notice, spread, now);
 }
 
 ////////////////////////////////////////////////////////////
 void ServerView::recordAccepted(core::Timestamp sentAt)
 {
-    m_notices.accepted(sentAt);
+    m_notices.recordAccepted(sentAt);
 }
 
 ////////////////////////////////////////////////////////////
@@ -160,9 +160,9 @@
     ++m_inFlight;
     m_recentRequests = recentRequests(now) + 1;
     m_recentRequestsAt = now;
-    m_notices.sent(now);
+    m_notices.recordSent(now);
     if (m_limit)
-        m_limit->sent(1, now);
+        m_limit->recordSent(1, now);
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/balance/ServicePool.cpp
+++ b/src/sailpath/balance/ServicePool.cpp
@@ -222,7 +222,7 @@
     for (const auto& server : m_servers)
     {
         if (const SharedLimit* limit = server->limit(now))
-            all.push_back({server->instance(), limit->perSecond(now), limit->since(), limit->openness(now),
+            all.push_back({server->instance(), limit->perSecond(now), limit->limitedSince(), limit->admissionProbability(now),
                            limit->sentHere(), limit->sentByAll()});
     }
 }
@@ -246,8 +246,8 @@
     for (const auto& [id, server] : m_byId)
     {
         const NoticeState& notices = server->notices();
-        if (notices.inForce(now))
-            all.push_back({server->instance(), notices.leaving(), notices.leavingFor(now), notices.backOffLeft(now)});
+        if (notices.isInForce(now))
+            all.push_back({server->instance(), notices.isLeaving(), notices.leavingFor(now), notices.backOffLeft(now)});
     }
 }
 
@@ -280,7 +280,7 @@
     for (const auto& server : m_servers)
     {
         if (const SharedLimit* limit = server->limit(now))
-            highest = std::max(highest, limit->openness(now));
+            highest = std::max(highest, limit->admissionProbability(now));
     }
     return highest;
 }
@@ -435,9 +435,9 @@
 ////////////////////////////////////////////////////////////
 NoServerReason ServicePool::noServerReasonOf(const ServerView& server, core::Timestamp now)
 {
-    if (server.notices().leaving())
+    if (server.notices().isLeaving())
         return NoServerReason::Leaving;
-    if (!server.notices().takesOneMore(now))
+    if (!server.notices().mayReceiveRequest(now))
         return NoServerReason::BackOff;
     if (server.limit(now) != nullptr)
         return NoServerReason::Limited;
--- a/src/sailpath/balance/ServicePoolPlacement.cpp
+++ b/src/sailpath/balance/ServicePoolPlacement.cpp
@@ -166,9 +166,9 @@
 bool ServicePool::noticesAllow(const ServerView& server, bool allowLeaving, core::Timestamp now) const
 {
     const NoticeState& notices = server.notices();
-    if (!notices.takesOneMore(now))
+    if (!notices.mayReceiveRequest(now))
         return false;
-    return !notices.leaving() || (allowLeaving && notices.leavingFor(now) <= m_settings.leavingGrace);
+    return !notices.isLeaving() || (allowLeaving && notices.leavingFor(now) <= m_settings.leavingGrace);
 }
 
 ////////////////////////////////////////////////////////////
@@ -186,7 +186,7 @@
     // A single node does not send a limited server more than it takes, but the sum over all nodes would overload it.
     const SharedLimit* limit = m_mayBeLimited ? server.limit(now) : nullptr;
     return limit == nullptr ||
-           limit->lets(uniformDraw(criteria.draw, deployment::lifeHash(*server.instance())), criteria.rank, now);
+           limit->admits(uniformDraw(criteria.draw, deployment::lifeHash(*server.instance())), criteria.rank, now);
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/balance/SharedLimit.cpp
+++ b/src/sailpath/balance/SharedLimit.cpp
@@ -7,66 +7,71 @@
 {
 namespace
 {
-constexpr double headroom = 1;         // Doublings over fully open, so that demand of nearly the limit is let in whole
-constexpr double fewestToDouble = 0.4; // Requests, for limits of less than one a second
-constexpr double secondsToDouble = 0.12; // Of what the instance takes: twice as long as news are on their way as a rule
-constexpr double aimShare = 0.985;       // Of what an instance takes: the sum is tossed by a request or two
-constexpr double leastRate =
-    0.2; // Requests a second that go even where none are taken: else nobody would hear of the end
-constexpr double agreement = 0.07; // Of the difference between two nodes' figures, by which one that hears comes nearer
-constexpr double reopening = 10;   // Doublings a second once it takes everything: without a herd, whole within a second
-constexpr auto   overtaking = std::chrono::milliseconds{250}; // By which news of an answer may come before others
+// A value above 0 lets in a demand of nearly the limit whole.
+constexpr double maxLog2Probability = 1;
+constexpr double minRequestsToDouble = 0.4; // For limits below one request per second
+// Seconds of the limit: twice the usual delay of reports between nodes.
+constexpr double secondsToDouble = 0.12;
+// Part of the limit to aim at: the sum varies by a request or two.
+constexpr double targetShare = 0.985;
+// Requests per second that are sent even under a limit of 0: otherwise no node would learn that the limit has ended.
+constexpr double minRate = 0.2;
+// Part of the difference between two nodes' figures by which the node that receives a report moves towards the other.
+constexpr double convergence = 0.07;
+// Doublings per second once the limit has ended: full load within a second, but not from all nodes at once.
+constexpr double recoveryRate = 10;
+constexpr auto   reorderingTime = std::chrono::milliseconds{250}; // By which reports of answers may overtake each other
 
 ////////////////////////////////////////////////////////////
 RateBound boundOf(double perSecond)
 {
     if (perSecond == unlimited)
-        return {reopening, 1, headroom};
-    const double toDouble = fewestToDouble + secondsToDouble * perSecond;
-    return {std::max(leastRate, aimShare * perSecond), toDouble, headroom * toDouble};
+        return {recoveryRate, 1, maxLog2Probability};
+    const double requestsToDouble = minRequestsToDouble + secondsToDouble * perSecond;
+    return {std::max(minRate, targetShare * perSecond), requestsToDouble, maxLog2Probability * requestsToDouble};
 }
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-SharedLimit::SharedLimit(double doublings, core::Timestamp now) :
-m_since(now),
-m_rate(doublings, boundOf(unlimited), now)
+SharedLimit::SharedLimit(double log2Probability, core::Timestamp now) :
+m_limitedSince(now),
+m_rate(log2Probability, boundOf(unlimited), now)
 {
 }
 
 ////////////////////////////////////////////////////////////
-bool SharedLimit::told(double perSecond, core::Timestamp at, core::Timestamp now)
+bool SharedLimit::recordLimit(double perSecond, core::Timestamp at, core::Timestamp now)
 {
-    if (at + overtaking < m_wordAt)
+    if (at + reorderingTime < m_lastLimitAt)
         return false;
-    m_rate.settle(boundOf(this->perSecond(now)), now);
+    m_rate.advance(boundOf(this->perSecond(now)), now);
     if (perSecond <= this->perSecond(now))
     {
-        m_low = perSecond;
-        m_lowUntil = now + overtaking;
+        m_lowLimit = perSecond;
+        m_lowLimitUntil = now + reorderingTime;
     }
-    const bool changed = perSecond != m_word;
-    if (at >= m_wordAt)
+    const bool changed = perSecond != m_lastLimit;
+    if (at >= m_lastLimitAt)
     {
-        m_word = perSecond;
-        m_wordAt = at;
+        m_lastLimit = perSecond;
+        m_lastLimitAt = at;
     }
     return changed;
 }
 
 ////////////////////////////////////////////////////////////
-void SharedLimit::sent(double requests, core::Timestamp now)
+void SharedLimit::recordSent(double requests, core::Timestamp now)
 {
     m_sentHere += requests;
     count(requests, now);
 }
 
 ////////////////////////////////////////////////////////////
-void SharedLimit::sentElsewhere(double requests, double doublings, core::Timestamp now)
+void SharedLimit::recordSentElsewhere(double requests, double log2Probability, core::Timestamp now)
 {
     count(requests, now);
-    m_rate.agree(doublings, agreement, boundOf(perSecond(now)));
+    m_rate.moveTowards(log2Probability, convergence, boundOf(perSecond(now)));
 }
 
 ////////////////////////////////////////////////////////////
@@ -78,45 +83,45 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool SharedLimit::lets(double draw, unsigned rank, core::Timestamp now) const
+bool SharedLimit::admits(double draw, unsigned rank, core::Timestamp now) const
 {
-    return draw < std::exp2((1 + rank) * std::min(0.0, doublings(now)));
+    return draw < std::exp2((1 + rank) * std::min(0.0, log2Probability(now)));
 }
 
 ////////////////////////////////////////////////////////////
-bool SharedLimit::over(core::Timestamp now) const
+bool SharedLimit::hasEnded(core::Timestamp now) const
 {
-    return perSecond(now) == unlimited && doublings(now) >= 0;
+    return perSecond(now) == unlimited && log2Probability(now) >= 0;
 }
 
 ////////////////////////////////////////////////////////////
-double SharedLimit::openness(core::Timestamp now) const
+double SharedLimit::admissionProbability(core::Timestamp now) const
 {
-    return m_rate.openness(boundOf(perSecond(now)), now);
+    return m_rate.admissionProbability(boundOf(perSecond(now)), now);
 }
 
 ////////////////////////////////////////////////////////////
 double SharedLimit::perSecond(core::Timestamp now) const
 {
-    return now < m_lowUntil ? std::min(m_low, m_word) : m_word;
+    return now < m_lowLimitUntil ? std::min(m_lowLimit, m_lastLimit) : m_lastLimit;
 }
 
 ////////////////////////////////////////////////////////////
-double SharedLimit::doublings(core::Timestamp now) const
+double SharedLimit::log2Probability(core::Timestamp now) const
 {
-    return m_rate.doublings(boundOf(perSecond(now)), now);
+    return m_rate.log2Probability(boundOf(perSecond(now)), now);
 }
 
 ////////////////////////////////////////////////////////////
-core::Timestamp SharedLimit::wordAt() const
+core::Timestamp SharedLimit::lastLimitAt() const
 {
-    return m_wordAt;
+    return m_lastLimitAt;
 }
 
 ////////////////////////////////////////////////////////////
-double SharedLimit::word() const
+double SharedLimit::lastLimit() const
 {
-    return m_word;
+    return m_lastLimit;
 }
 
 ////////////////////////////////////////////////////////////
@@ -132,9 +137,9 @@
 }
 
 ////////////////////////////////////////////////////////////
-core::Timestamp SharedLimit::since() const
+core::Timestamp SharedLimit::limitedSince() const
 {
-    return m_since;
+    return m_limitedSince;
 }
 
 } // namespace sailpath::balance
--- a/test/balance/JoiningServers.test.cpp
+++ b/test/balance/JoiningServers.test.cpp
@@ -65,7 +65,7 @@
         for (unsigned i = 0; i < joining * dataCentres; ++i)
         {
             const std::string id = "new" + std::to_string(i);
-            const auto        delay = model.got(id) == 0 ? 30s : model.firstGot(id) - joined;
+            const auto        delay = model.countArrivals(id) == 0 ? 30s : model.firstArrival(id) - joined;
             longest = std::max<core::Duration>(longest, delay);
             within += delay <= bound ? 1 : 0;
             ++all;
