--- a/include/sailpath/replication/FirstCopy.hpp
+++ b/include/sailpath/replication/Bootstrap.hpp
@@ -17,7 +17,7 @@
 ////////////////////////////////////////////////////////////
 /// \brief Constants of a start
 ////////////////////////////////////////////////////////////
-struct FirstCopySettings
+struct BootstrapSettings
 {
     core::Duration linkPatience{
         std::chrono::milliseconds{60}}; //!< For a link to come up; a VM still without power says nothing
@@ -48,7 +48,7 @@
 /// second and know nobody but their seeds. When each read the store, 473 answers
 /// of 0.42 MB went through its one link: 1.4 s and more from start to ready. By
 /// relays it is 0.39 s of that same load, whose seeds get power last.
-/// So seeds introduce nodes to each other (see `Introductions`): they name a few
+/// So seeds introduce nodes to each other (see `BootstrapRelays`): they name a few
 /// strong nodes of each data centre as relays. Only seeds and relays read the
 /// store, unless a seed has a copy for them; the others follow relays and get it
 /// packed. A node that starts alone gets it from its seed.
@@ -62,10 +62,10 @@
 /// seeds are all gone does not come at once. A relay that stays silent delays
 /// its followers by `oneMore`, then they follow another beside it.
 ////////////////////////////////////////////////////////////
-class FirstCopy
+class Bootstrap
 {
 public:
-    FirstCopy(NodeAddress self, std::vector<std::string> seeds, core::Timestamp born, core::Random& random);
+    Bootstrap(NodeAddress self, std::vector<std::string> seeds, core::Timestamp born, core::Random& random);
 
     void named(std::span<const NodeAddress> relays, core::Timestamp now); //!< A seed named the relays
     void lacking();                                                       //!< Some node said that it has no copy
@@ -96,7 +96,7 @@
     [[nodiscard]] bool                     reachable(const std::string& address, core::Timestamp now) const;
     [[nodiscard]] std::size_t              patienceCount(core::Timestamp since, core::Timestamp now) const;
 
-    FirstCopySettings              m_settings;          //!< Constants
+    BootstrapSettings              m_settings;          //!< Constants
     NodeAddress                    m_self;              //!< This node
     std::vector<std::string>       m_seeds;             //!< Others only, in this node's order
     bool                           m_isSeed{false};     //!< Others know this node from their start
--- a/include/sailpath/replication/Introductions.hpp
+++ b/include/sailpath/replication/BootstrapRelays.hpp
@@ -26,10 +26,10 @@
 /// whoever is named stays so unless a stronger one comes, or each newcomer
 /// would be named for a moment and read the store.
 ////////////////////////////////////////////////////////////
-class Introductions
+class BootstrapRelays
 {
 public:
-    explicit Introductions(std::uint32_t capacity);
+    explicit BootstrapRelays(std::uint32_t capacity);
 
     void waiting(std::size_t followers, core::Timestamp now); //!< So many followers have no copy
     void served(core::Timestamp now);                         //!< A copy was sent
--- a/include/sailpath/replication/Message.hpp
+++ b/include/sailpath/replication/Message.hpp
@@ -63,7 +63,7 @@
 ////////////////////////////////////////////////////////////
 /// \brief What a node saw of servers: which failed requests that they had taken, which ended, which are limited
 ///
-/// Travels over all links, each report once over each (see `ServerNews`).
+/// Travels over all links, each report once over each (see `ServerGossip`).
 ////////////////////////////////////////////////////////////
 struct ServerReport
 {
--- a/include/sailpath/replication/Replica.hpp
+++ b/include/sailpath/replication/Replica.hpp
@@ -2,13 +2,13 @@
 
 #include <sailpath/core/Random.hpp>
 #include <sailpath/core/Time.hpp>
-#include <sailpath/replication/FirstCopy.hpp>
-#include <sailpath/replication/Introductions.hpp>
+#include <sailpath/replication/Bootstrap.hpp>
+#include <sailpath/replication/BootstrapRelays.hpp>
 #include <sailpath/replication/ItemSource.hpp>
 #include <sailpath/replication/ItemTable.hpp>
 #include <sailpath/replication/MemberList.hpp>
 #include <sailpath/replication/Message.hpp>
-#include <sailpath/replication/ServerNews.hpp>
+#include <sailpath/replication/ServerGossip.hpp>
 
 #include <cstdint>
 #include <deque>
@@ -272,14 +272,14 @@
     ReplicaSettings                          m_settings;                //!< Constants
     core::Random                             m_random;                  //!< For jitter
     core::Timestamp                          m_born;                    //!< Start
-    FirstCopy                                m_first;                   //!< How a copy is come by
+    Bootstrap                                m_first;                   //!< How a copy is come by
     ItemTable                                m_table;                   //!< The copy
     std::shared_ptr<const std::vector<Item>> m_whole;                   //!< All items, for followers that start
     std::uint64_t                            m_wholeSequence{0};        //!< Changes of the copy when they were listed
-    ServerNews                               m_news;                    //!< On their way through this node
+    ServerGossip                             m_news;                    //!< On their way through this node
     core::Timestamp                          m_nextNews{};              //!< Next telling of them to a relay
     core::Timestamp                          m_newsSoon{};              //!< And of those that wait only a moment
-    Introductions                            m_introductions;           //!< Whom a seed names
+    BootstrapRelays                          m_introductions;           //!< Whom a seed names
     std::uint64_t                            m_nodeChanges{0};          //!< Nodes heard of for the first time
     bool                                     m_rankSoon{false};         //!< Nodes are new since the last ranking
     std::set<std::string>                    m_wholeFrom;               //!< Relays that are to begin with all items
--- a/include/sailpath/replication/ServerNews.hpp
+++ b/include/sailpath/replication/ServerGossip.hpp
@@ -40,12 +40,12 @@
 /// kept for a few seconds only, so that a node that was cut off tells no
 /// old news.
 ////////////////////////////////////////////////////////////
-class ServerNews
+class ServerGossip
 {
 public:
     static constexpr std::chrono::milliseconds gather{60}; //!< That limits which are not pressed wait for others
 
-    explicit ServerNews(std::uint32_t self);
+    explicit ServerGossip(std::uint32_t self);
 
     void saw(std::uint32_t server);                           //!< This node saw it fail
     void sawEnd(const EndRecord& record, core::Timestamp at); //!< This node saw a server end then
--- a/src/sailpath/replication/FirstCopy.cpp
+++ b/src/sailpath/replication/Bootstrap.cpp
@@ -1,5 +1,5 @@
 #include <sailpath/core/Hash.hpp>
-#include <sailpath/replication/FirstCopy.hpp>
+#include <sailpath/replication/Bootstrap.hpp>
 
 #include <algorithm>
 #include <utility>
@@ -15,7 +15,7 @@
 } // namespace
 
 ////////////////////////////////////////////////////////////
-FirstCopy::FirstCopy(NodeAddress self, std::vector<std::string> seeds, core::Timestamp born, core::Random& random) :
+Bootstrap::Bootstrap(NodeAddress self, std::vector<std::string> seeds, core::Timestamp born, core::Random& random) :
 m_self(std::move(self)),
 m_seeds(std::move(seeds)),
 m_born(born)
@@ -31,7 +31,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void FirstCopy::named(std::span<const NodeAddress> relays, core::Timestamp now)
+void Bootstrap::named(std::span<const NodeAddress> relays, core::Timestamp now)
 {
     if (m_named.empty() && !relays.empty())
         m_namedAt = now;
@@ -50,13 +50,13 @@
 }
 
 ////////////////////////////////////////////////////////////
-void FirstCopy::lacking()
+void Bootstrap::lacking()
 {
     m_lacking = true;
 }
 
 ////////////////////////////////////////////////////////////
-void FirstCopy::storeIll(core::Timestamp now, core::Random& random)
+void Bootstrap::storeIll(core::Timestamp now, core::Random& random)
 {
     const core::Duration part = m_settings.spread;
     if (m_named.empty())
@@ -65,14 +65,14 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool FirstCopy::noOtherSeed() const
+bool Bootstrap::noOtherSeed() const
 {
     return std::all_of(m_seeds.begin(), m_seeds.end(),
                        [this](const std::string& seed) { return m_failures.count(seed) > 0; });
 }
 
 ////////////////////////////////////////////////////////////
-void FirstCopy::reached(const std::string& address, core::Timestamp now)
+void Bootstrap::reached(const std::string& address, core::Timestamp now)
 {
     if (!m_seedSince && std::find(m_seeds.begin(), m_seeds.end(), address) != m_seeds.end())
         m_seedSince = now;
@@ -80,7 +80,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void FirstCopy::unreachable(const std::string& address, core::Timestamp now)
+void Bootstrap::unreachable(const std::string& address, core::Timestamp now)
 {
     m_reached.erase(address);
     Failure& failure = m_failures[address];
@@ -89,7 +89,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration FirstCopy::linkPatience(core::Timestamp since) const
+core::Duration Bootstrap::linkPatience(core::Timestamp since) const
 {
     // Seeds may get power last. What was sent to them before is lost, so it is sent again soon; where all are far away
     // or slow, patience grows until links come up.
@@ -97,33 +97,33 @@
 }
 
 ////////////////////////////////////////////////////////////
-void FirstCopy::bytesCame(core::Timestamp now)
+void Bootstrap::bytesCame(core::Timestamp now)
 {
     m_bytesAt = now;
 }
 
 ////////////////////////////////////////////////////////////
-bool FirstCopy::relays() const
+bool Bootstrap::relays() const
 {
     return m_relays;
 }
 
 ////////////////////////////////////////////////////////////
-bool FirstCopy::reachable(const std::string& address, core::Timestamp now) const
+bool Bootstrap::reachable(const std::string& address, core::Timestamp now) const
 {
     const auto failure = m_failures.find(address);
     return failure == m_failures.end() || now >= failure->second.until;
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t FirstCopy::patienceCount(core::Timestamp since, core::Timestamp now) const
+std::size_t Bootstrap::patienceCount(core::Timestamp since, core::Timestamp now) const
 {
     const auto more = static_cast<std::size_t>((now - since) / m_settings.oneMore);
     return std::min<std::size_t>(1 + more, m_settings.mostRelays);
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<std::string> FirstCopy::seedsToFollow(core::Timestamp now) const
+std::vector<std::string> Bootstrap::seedsToFollow(core::Timestamp now) const
 {
     // Seeds tell each other of all who came, so that they name the same relays.
     const std::size_t        most = m_isSeed ? m_seeds.size() : patienceCount(m_seedSince.value_or(m_born), now);
@@ -142,7 +142,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<std::string> FirstCopy::relaysToFollow(core::Timestamp now) const
+std::vector<std::string> Bootstrap::relaysToFollow(core::Timestamp now) const
 {
     std::vector<std::string> relays;
     for (const NodeAddress& relay : m_named)
@@ -154,7 +154,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<std::string> FirstCopy::upstreams(core::Timestamp now) const
+std::vector<std::string> Bootstrap::upstreams(core::Timestamp now) const
 {
     std::vector<std::string> upstreams = seedsToFollow(now);
     for (std::string& relay : relaysToFollow(now))
@@ -166,7 +166,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool FirstCopy::readsStore(core::Timestamp now) const
+bool Bootstrap::readsStore(core::Timestamp now) const
 {
     if (m_seeds.empty() || now >= m_born + m_settings.longest)
         return true;
@@ -181,20 +181,20 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool FirstCopy::readsEarly(core::Timestamp now) const
+bool Bootstrap::readsEarly(core::Timestamp now) const
 {
     return !m_triedEarly && m_reached.empty() && !m_isSeed && now >= m_born + m_settings.earlyAfter;
 }
 
 ////////////////////////////////////////////////////////////
-core::Timestamp FirstCopy::earlyReading(core::Timestamp now)
+core::Timestamp Bootstrap::earlyReading(core::Timestamp now)
 {
     m_triedEarly = true;
     return now + m_settings.earlyPatience;
 }
 
 ////////////////////////////////////////////////////////////
-core::Timestamp FirstCopy::nextDue(core::Timestamp now) const
+core::Timestamp Bootstrap::nextDue(core::Timestamp now) const
 {
     core::Timestamp next = now + m_settings.oneMore;
     for (const core::Timestamp at : {m_born + m_settings.earlyAfter, m_born + m_settings.seedPatience,
--- a/src/sailpath/replication/Introductions.cpp
+++ b/src/sailpath/replication/BootstrapRelays.cpp
@@ -1,5 +1,5 @@
 #include <sailpath/core/Hash.hpp>
-#include <sailpath/replication/Introductions.hpp>
+#include <sailpath/replication/BootstrapRelays.hpp>
 
 #include <algorithm>
 #include <tuple>
@@ -60,7 +60,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-Introductions::Introductions(std::uint32_t capacity) :
+BootstrapRelays::BootstrapRelays(std::uint32_t capacity) :
 m_capacity(capacity),
 m_few(fewWaiting << std::min(std::max(capacity, 1U) - 1, mostCapacity)),
 m_pace(core::Duration(ownPace) / (1U << std::min(capacity, mostCapacity)))
@@ -68,7 +68,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Introductions::mayServe(core::Timestamp now)
+bool BootstrapRelays::mayServe(core::Timestamp now)
 {
     if (now < m_serveNext)
         return false;
@@ -77,7 +77,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Introductions::waiting(std::size_t followers, core::Timestamp now)
+void BootstrapRelays::waiting(std::size_t followers, core::Timestamp now)
 {
     while (!m_servedAt.empty() && now - m_servedAt.front() > recently)
         m_servedAt.pop_front();
@@ -91,31 +91,31 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Introductions::served(core::Timestamp now)
+void BootstrapRelays::served(core::Timestamp now)
 {
     m_servedAt.push_back(now);
 }
 
 ////////////////////////////////////////////////////////////
-bool Introductions::crowd() const
+bool BootstrapRelays::crowd() const
 {
     return m_crowd;
 }
 
 ////////////////////////////////////////////////////////////
-bool Introductions::wantsRefresh(std::uint64_t changes, core::Timestamp now) const
+bool BootstrapRelays::wantsRefresh(std::uint64_t changes, core::Timestamp now) const
 {
     return m_crowd && (changes != m_changes || m_lacks) && now >= m_nextRefresh;
 }
 
 ////////////////////////////////////////////////////////////
-std::optional<core::Timestamp> Introductions::nextRefresh(std::uint64_t changes) const
+std::optional<core::Timestamp> BootstrapRelays::nextRefresh(std::uint64_t changes) const
 {
     return m_crowd && (changes != m_changes || m_lacks) ? std::optional(m_nextRefresh) : std::nullopt;
 }
 
 ////////////////////////////////////////////////////////////
-void Introductions::refresh(std::span<const NodeAddress> nodes, std::uint64_t changes, core::Timestamp now)
+void BootstrapRelays::refresh(std::span<const NodeAddress> nodes, std::uint64_t changes, core::Timestamp now)
 {
     m_changes = changes;
     m_nextRefresh = now + between;
@@ -134,14 +134,14 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::span<const NodeAddress> Introductions::relaysOf(const std::string& dataCentre) const
+std::span<const NodeAddress> BootstrapRelays::relaysOf(const std::string& dataCentre) const
 {
     const auto found = m_relays.find(dataCentre);
     return found == m_relays.end() ? std::span<const NodeAddress>() : std::span<const NodeAddress>(found->second);
 }
 
 ////////////////////////////////////////////////////////////
-bool Introductions::isRelay(const NodeAddress& node) const
+bool BootstrapRelays::isRelay(const NodeAddress& node) const
 {
     const auto relays = relaysOf(node.dataCentre);
     return std::any_of(relays.begin(), relays.end(),
@@ -149,7 +149,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<NodeAddress> Introductions::namesFor(const NodeAddress& node) const
+std::vector<NodeAddress> BootstrapRelays::namesFor(const NodeAddress& node) const
 {
     const auto               near = relaysOf(node.dataCentre);
     std::vector<NodeAddress> names(near.begin(), near.end());
@@ -166,7 +166,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::uint64_t Introductions::hashFor(const NodeAddress& node) const
+std::uint64_t BootstrapRelays::hashFor(const NodeAddress& node) const
 {
     std::uint64_t hash = 0;
     for (const NodeAddress& relay : namesFor(node))
--- a/src/sailpath/replication/ReplicaUpdates.cpp
+++ b/src/sailpath/replication/ReplicaUpdates.cpp
@@ -163,7 +163,7 @@
     const bool waits = now < m_nextNews && !m_news.urgentSince(relay->second.newsTold);
     if (waits && (now < m_newsSoon || !m_news.soonSince(relay->second.newsTold)))
         return;
-    m_newsSoon = now + ServerNews::gather;
+    m_newsSoon = now + ServerGossip::gather;
     m_nextNews = now + m_settings.beat;
     auto reports = m_news.forRelay(relay->second.newsTold);
     relay->second.newsTold = m_news.end();
@@ -267,7 +267,7 @@
         if (m_news.urgentSince(follower.newsTold))
             follower.nextBeat = std::min(follower.nextBeat, follower.fedAt + m_settings.gather);
         else if (m_news.soonSince(follower.newsTold))
-            follower.nextBeat = std::min<core::Timestamp>(follower.nextBeat, follower.fedAt + ServerNews::gather);
+            follower.nextBeat = std::min<core::Timestamp>(follower.nextBeat, follower.fedAt + ServerGossip::gather);
         if (tells && follower.wantsAll)
             follower.nextBeat = now;
         else if (tells && (news || fresher))
--- a/src/sailpath/replication/ServerNews.cpp
+++ b/src/sailpath/replication/ServerGossip.cpp
@@ -1,4 +1,4 @@
-#include <sailpath/replication/ServerNews.hpp>
+#include <sailpath/replication/ServerGossip.hpp>
 
 #include <algorithm>
 #include <cmath>
@@ -23,13 +23,13 @@
 } // namespace
 
 ////////////////////////////////////////////////////////////
-ServerNews::ServerNews(std::uint32_t self) :
+ServerGossip::ServerGossip(std::uint32_t self) :
 m_self(self)
 {
 }
 
 ////////////////////////////////////////////////////////////
-void ServerNews::saw(std::uint32_t server)
+void ServerGossip::saw(std::uint32_t server)
 {
     auto& servers = m_seen.servers;
     if (servers.size() < mostServers && std::find(servers.begin(), servers.end(), server) == servers.end())
@@ -37,21 +37,21 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServerNews::sawEnd(const EndRecord& record, core::Timestamp at)
+void ServerGossip::sawEnd(const EndRecord& record, core::Timestamp at)
 {
     if (m_seen.ends.size() < mostEnds)
         m_seen.ends.emplace_back(record, at);
 }
 
 ////////////////////////////////////////////////////////////
-void ServerNews::sawServed(const core::ContentHash& content)
+void ServerGossip::sawServed(const core::ContentHash& content)
 {
     if (m_seen.served.size() < mostEnds)
         m_seen.served.push_back(content);
 }
 
 ////////////////////////////////////////////////////////////
-void ServerNews::limited(const LimitRecord& record, core::Timestamp at)
+void ServerGossip::limited(const LimitRecord& record, core::Timestamp at)
 {
     auto&      limits = m_seen.limits;
     const auto known = std::find_if(limits.begin(), limits.end(),
@@ -67,7 +67,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServerNews::heard(std::span<const ServerReport> reports, NewsSource source, core::Timestamp now)
+void ServerGossip::heard(std::span<const ServerReport> reports, NewsSource source, core::Timestamp now)
 {
     for (const ServerReport& report : reports)
     {
@@ -84,7 +84,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServerNews::tick(core::Timestamp now)
+void ServerGossip::tick(core::Timestamp now)
 {
     while (!m_entries.empty() && (now - m_entries.front().at > life || m_entries.size() > mostEntries))
     {
@@ -114,14 +114,14 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool ServerNews::due(core::Timestamp now) const
+bool ServerGossip::due(core::Timestamp now) const
 {
     const auto urgent = nextUrgent();
     return (urgent && now >= *urgent) || (!m_seen.servers.empty() && now >= m_nextReport);
 }
 
 ////////////////////////////////////////////////////////////
-std::optional<core::Timestamp> ServerNews::nextUrgent() const
+std::optional<core::Timestamp> ServerGossip::nextUrgent() const
 {
     const bool pressed =
         std::any_of(m_seen.limits.begin(), m_seen.limits.end(), [](const auto& item) { return item.first.pressed(); });
@@ -131,7 +131,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool ServerNews::urgentSince(std::uint64_t count) const
+bool ServerGossip::urgentSince(std::uint64_t count) const
 {
     for (std::uint64_t i = std::max(count, m_begin); i < end(); ++i)
     {
@@ -142,7 +142,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool ServerNews::soonSince(std::uint64_t count) const
+bool ServerGossip::soonSince(std::uint64_t count) const
 {
     for (std::uint64_t i = std::max(count, m_begin); i < end(); ++i)
     {
@@ -153,7 +153,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServerNews::keep(const ServerReport& report, core::Timestamp now)
+void ServerGossip::keep(const ServerReport& report, core::Timestamp now)
 {
     std::erase_if(m_words, [now](const auto& item) { return now - item.second.at > wordLife; });
     for (const LimitRecord& record : report.limits)
@@ -170,7 +170,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::optional<ServerReport> ServerNews::limitsInForce(core::Timestamp now) const
+std::optional<ServerReport> ServerGossip::limitsInForce(core::Timestamp now) const
 {
     if (m_words.empty())
         return std::nullopt;
@@ -192,7 +192,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServerNews::add(ServerReport report, const NewsSource& source, core::Timestamp now)
+void ServerGossip::add(ServerReport report, const NewsSource& source, core::Timestamp now)
 {
     if (m_lastOf.size() >= mostOrigins)
         m_lastOf.clear();
@@ -202,13 +202,13 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::uint64_t ServerNews::end() const
+std::uint64_t ServerGossip::end() const
 {
     return m_begin + m_entries.size();
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<ServerReport> ServerNews::forFollower(std::uint64_t count, std::uint64_t link) const
+std::vector<ServerReport> ServerGossip::forFollower(std::uint64_t count, std::uint64_t link) const
 {
     std::vector<ServerReport> reports;
     for (std::uint64_t i = std::max(count, m_begin); i < end(); ++i)
@@ -220,7 +220,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<ServerReport> ServerNews::forRelay(std::uint64_t count) const
+std::vector<ServerReport> ServerGossip::forRelay(std::uint64_t count) const
 {
     std::vector<ServerReport> reports;
     for (std::uint64_t i = std::max(count, m_begin); i < end(); ++i)
@@ -232,7 +232,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<ServerReport> ServerNews::takeNews()
+std::vector<ServerReport> ServerGossip::takeNews()
 {
     return std::exchange(m_news, {});
 }
--- a/test/replication/Introductions.test.cpp
+++ b/test/replication/BootstrapRelays.test.cpp
@@ -1,5 +1,5 @@
-#include <sailpath/replication/FirstCopy.hpp>
-#include <sailpath/replication/Introductions.hpp>
+#include <sailpath/replication/Bootstrap.hpp>
+#include <sailpath/replication/BootstrapRelays.hpp>
 
 #include <boost/test/unit_test.hpp>
 
@@ -9,8 +9,8 @@
 {
 using namespace sailpath;
 using namespace std::chrono_literals;
-using replication::FirstCopy;
-using replication::Introductions;
+using replication::Bootstrap;
+using replication::BootstrapRelays;
 using replication::NodeAddress;
 
 constexpr core::Timestamp start{1h};
@@ -26,14 +26,14 @@
 }
 
 ////////////////////////////////////////////////////////////
-FirstCopy firstCopy(const std::string& self, std::vector<std::string> seeds)
+Bootstrap firstCopy(const std::string& self, std::vector<std::string> seeds)
 {
     core::Random random(1);
     return {{self, "dc", 0, 1}, std::move(seeds), start, random};
 }
 
 ////////////////////////////////////////////////////////////
-bool follows(const FirstCopy& first, const std::string& address, core::Timestamp now)
+bool follows(const Bootstrap& first, const std::string& address, core::Timestamp now)
 {
     const auto upstreams = first.upstreams(now);
     return std::find(upstreams.begin(), upstreams.end(), address) != upstreams.end();
@@ -59,7 +59,7 @@
     auto       nodes = nodesOf(30, 1, "weak");
     const auto strong = nodesOf(2, 3, "strong");
     nodes.insert(nodes.end(), strong.begin(), strong.end());
-    Introductions introductions(1);
+    BootstrapRelays introductions(1);
     introductions.waiting(30, start);
     introductions.refresh(nodes, 1, start);
     const auto names = introductions.namesFor(nodes.front());
@@ -81,7 +81,7 @@
 
 BOOST_AUTO_TEST_CASE(AFewAreServedByTheSeedItselfAndACrowdIsNot)
 {
-    Introductions introductions(1);
+    BootstrapRelays introductions(1);
     introductions.waiting(8, start);
     BOOST_TEST(!introductions.crowd());
     introductions.waiting(9, start);
@@ -92,7 +92,7 @@
 
 BOOST_AUTO_TEST_CASE(CopiesSentOfLateCountAsACrowd)
 {
-    Introductions introductions(1);
+    BootstrapRelays introductions(1);
     for (int copy = 0; copy < 8; ++copy)
         introductions.served(start);
     introductions.waiting(1, start + 500ms);
@@ -103,7 +103,7 @@
 
 BOOST_AUTO_TEST_CASE(ANodeAsksTheStoreOnlyAfterTheTimeOfACrowdOfReadings)
 {
-    const FirstCopy first = firstCopy("a:1", {"s:1"});
+    const Bootstrap first = firstCopy("a:1", {"s:1"});
     BOOST_TEST(!first.readsStore(start + 599ms));
     BOOST_TEST(first.readsStore(start + 1300ms));
     BOOST_TEST(follows(first, "s:1", start));
@@ -111,7 +111,7 @@
 
 BOOST_AUTO_TEST_CASE(ACopyOnItsWayIsWaitedForButNotForEver)
 {
-    FirstCopy first = firstCopy("a:1", {"s:1"});
+    Bootstrap first = firstCopy("a:1", {"s:1"});
     first.bytesCame(start + 1300ms);
     BOOST_TEST(!first.readsStore(start + 1400ms));
     BOOST_TEST(first.readsStore(start + 1460ms));
@@ -121,7 +121,7 @@
 
 BOOST_AUTO_TEST_CASE(ARelayReadsAtOnceWhenNobodyHasACopy)
 {
-    FirstCopy first = firstCopy("a:1", {"s:1"});
+    Bootstrap first = firstCopy("a:1", {"s:1"});
     first.named(std::vector<NodeAddress>{{"a:1", "dc", 0, 1}, {"b:1", "dc", 0, 1}}, start + 10ms);
     first.lacking();
     BOOST_TEST(first.readsStore(start + 10ms));
@@ -131,7 +131,7 @@
 
 BOOST_AUTO_TEST_CASE(ASeedWaitsForAnotherThatItReached)
 {
-    FirstCopy first = firstCopy("s:1", {"s:1", "s:2"});
+    Bootstrap first = firstCopy("s:1", {"s:1", "s:2"});
     BOOST_TEST(!first.readsStore(start + 39ms));
     BOOST_TEST(first.readsStore(start + 40ms));
     first.reached("s:2", start);
@@ -143,7 +143,7 @@
 
 BOOST_AUTO_TEST_CASE(ASeedThatCannotBeReachedIsTriedAgainSoonAndAnotherMeanwhile)
 {
-    FirstCopy         first = firstCopy("a:1", {"s:1", "s:2"});
+    Bootstrap         first = firstCopy("a:1", {"s:1", "s:2"});
     const std::string before = first.upstreams(start).front();
     first.unreachable(before, start + 60ms);
     BOOST_TEST(!follows(first, before, start + 60ms));
@@ -156,10 +156,10 @@
 
 BOOST_AUTO_TEST_CASE(AShortReadingIsTriedOnceWhileNoSeedIsReached)
 {
-    FirstCopy first = firstCopy("a:1", {"s:1"});
+    Bootstrap first = firstCopy("a:1", {"s:1"});
     BOOST_TEST(!first.readsEarly(start + 19ms));
     BOOST_TEST(first.readsEarly(start + 20ms));
-    FirstCopy reached = firstCopy("a:1", {"s:1"});
+    Bootstrap reached = firstCopy("a:1", {"s:1"});
     reached.reached("s:1", start);
     BOOST_TEST(!reached.readsEarly(start + 20ms));
     BOOST_TEST((first.earlyReading(start + 20ms) == start + 60ms));
@@ -168,7 +168,7 @@
 
 BOOST_AUTO_TEST_CASE(ASilentRelayIsJoinedByAnother)
 {
-    FirstCopy first = firstCopy("a:1", {"s:1"});
+    Bootstrap first = firstCopy("a:1", {"s:1"});
     first.named(nodesOf(3, 1, "dc"), start);
     BOOST_TEST(first.upstreams(start + 10ms).size() == 2U);
     BOOST_TEST(first.upstreams(start + 130ms).size() == 3U);
--- a/test/replication/ServerNews.test.cpp
+++ b/test/replication/ServerGossip.test.cpp
@@ -1,4 +1,4 @@
-#include <sailpath/replication/ServerNews.hpp>
+#include <sailpath/replication/ServerGossip.hpp>
 #include <support/ReplicaGroup.hpp>
 
 #include <boost/test/unit_test.hpp>
@@ -9,7 +9,7 @@
 {
 using namespace sailpath;
 using namespace std::chrono_literals;
-using replication::ServerNews;
+using replication::ServerGossip;
 using replication::ServerReport;
 
 constexpr core::Timestamp start{1h};
@@ -38,7 +38,7 @@
 
 BOOST_AUTO_TEST_CASE(WhatWasSeenBecomesOneReportASpan)
 {
-    ServerNews news(1);
+    ServerGossip news(1);
     news.saw(7);
     news.saw(7);
     news.saw(8);
@@ -54,7 +54,7 @@
 
 BOOST_AUTO_TEST_CASE(AReportIsTakenOnceAndNotSentBackWhereItCameFrom)
 {
-    ServerNews                      news(1);
+    ServerGossip                    news(1);
     const std::vector<ServerReport> told{{2, 10, {7}}};
     news.heard(told, {4, false}, start);
     news.heard(told, {6, true}, start);
@@ -66,7 +66,7 @@
 
 BOOST_AUTO_TEST_CASE(WhatARelayToldIsNotToldToRelays)
 {
-    ServerNews news(1);
+    ServerGossip news(1);
     news.heard(std::vector<ServerReport>{{2, 10, {7}}}, {5, true}, start);
     BOOST_TEST(news.forRelay(0).empty());
     BOOST_TEST(news.forFollower(0, 8).size() == 1U);
@@ -74,7 +74,7 @@
 
 BOOST_AUTO_TEST_CASE(OwnReportsThatComeBackAndOldNewsAreLeftOut)
 {
-    ServerNews news(1);
+    ServerGossip news(1);
     news.heard(std::vector<ServerReport>{{1, 10, {7}}}, {4, false}, start);
     BOOST_TEST(news.takeNews().empty());
     news.heard(std::vector<ServerReport>{{2, 10, {7}}}, {4, false}, start);
@@ -84,7 +84,7 @@
 
 BOOST_AUTO_TEST_CASE(ANodeThatSeesAllFailIsNotBelieved)
 {
-    ServerNews   news(1);
+    ServerGossip news(1);
     ServerReport all{2, 10, {}};
     for (std::uint32_t server = 0; server < 100; ++server)
         all.servers.push_back(server);
@@ -94,7 +94,7 @@
 
 BOOST_AUTO_TEST_CASE(ServersThatEndUnderRequestsAreToldAtOnce)
 {
-    ServerNews             news(1);
+    ServerGossip           news(1);
     replication::EndRecord record{7, {}, 5, 80, 0};
     news.saw(7);
     news.tick(start);
@@ -109,7 +109,7 @@
 
 BOOST_AUTO_TEST_CASE(WhoTellsOfTooManyEndsIsNotBelieved)
 {
-    ServerNews   news(1);
+    ServerGossip news(1);
     ServerReport all{2, 10, {}, std::vector<replication::EndRecord>(100), {}};
     news.heard(std::vector<ServerReport>{all}, {4, false}, start);
     BOOST_TEST(news.takeNews().empty());
@@ -117,7 +117,7 @@
 
 BOOST_AUTO_TEST_CASE(WhatIsSentToALimitedServerIsAddedUpAndToldAtOnce)
 {
-    ServerNews news(1);
+    ServerGossip news(1);
     news.limited({7, 3.5, 0, 1, -1}, start);
     news.limited({7, 3, 0, 1, -2}, start + 5ms);
     news.tick(start + 10ms);
@@ -130,7 +130,7 @@
 BOOST_AUTO_TEST_CASE(WhatIsNotPressedWaitsForOthersAndWhatIsDoesNot)
 {
     constexpr double much = 3;
-    ServerNews       news(1);
+    ServerGossip     news(1);
     news.limited({7, 30, 0, 1, much}, start);
     news.tick(start);
     BOOST_TEST(news.end() == 1U);
@@ -140,8 +140,8 @@
     news.limited({8, 30, 0, 1, much}, start + 40ms);
     news.tick(start + 50ms);
     BOOST_TEST(news.end() == 1U);
-    BOOST_TEST((news.nextUrgent() == start + ServerNews::gather));
-    news.tick(start + ServerNews::gather);
+    BOOST_TEST((news.nextUrgent() == start + ServerGossip::gather));
+    news.tick(start + ServerGossip::gather);
     BOOST_REQUIRE_EQUAL(news.end(), 2U);
     BOOST_TEST(news.forRelay(1)[0].limits.size() == 2U);
     // Pressed: the next report goes with it at once.
@@ -153,7 +153,7 @@
 
 BOOST_AUTO_TEST_CASE(OfManyLimitsAFollowerThatJoinsIsToldTheLeastOpen)
 {
-    ServerNews news(1);
+    ServerGossip news(1);
     for (std::uint32_t i = 0; i < 80; ++i)
         news.heard(std::vector<ServerReport>{{2, i + 1, {}, {}, {}, {{i, 30, 0, 0, i < 10 ? -1.0 : 3.0}}}}, {4, false},
                    start);
@@ -167,7 +167,7 @@
 BOOST_AUTO_TEST_CASE(AFollowerThatJoinsHearsWhichServersAreLimited)
 {
     constexpr double none = std::numeric_limits<double>::infinity();
-    ServerNews       news(1);
+    ServerGossip     news(1);
     BOOST_TEST(!news.limitsInForce(start));
     news.heard(std::vector<ServerReport>{{2, 10, {}, {}, {}, {{7, 3.5, 20, 4, -1}, {8, 1, 0, 1, 0}}}}, {4, false},
                start);
@@ -177,7 +177,7 @@
     BOOST_REQUIRE_EQUAL(told->limits.size(), 1U);
     BOOST_TEST((told->limits[0] == replication::LimitRecord{7, 3.5, 1020, 0, -1}));
     // Own reports go on after it.
-    ServerNews follower(3);
+    ServerGossip follower(3);
     follower.heard(std::vector<ServerReport>{*told}, {6, true}, start + 1s);
     news.limited({7, 3, 0, 1, -1}, start + 1s);
     news.tick(start + 1s);
@@ -188,7 +188,7 @@
 
 BOOST_AUTO_TEST_CASE(WhoTellsOfTooManyLimitsIsNotBelieved)
 {
-    ServerNews   news(1);
+    ServerGossip news(1);
     ServerReport all{2, 10, {}, {}, {}, std::vector<replication::LimitRecord>(100)};
     news.heard(std::vector<ServerReport>{all}, {4, false}, start);
     BOOST_TEST(news.takeNews().empty());
