--- a/include/sailpath/replication/Bootstrap.hpp
+++ b/include/sailpath/replication/Bootstrap.hpp
@@ -19,26 +19,29 @@
 ////////////////////////////////////////////////////////////
 struct BootstrapSettings
 {
-    core::Duration linkPatience{
+    core::Duration linkTimeout{
         std::chrono::milliseconds{60}}; //!< For a link to come up; a VM still without power says nothing
     core::Duration retryAfter{
         std::chrono::milliseconds{20}}; //!< A node that could not be reached is tried again; doubles twice
-    core::Duration oneMore{std::chrono::milliseconds{120}};    //!< Without a copy for so long, follow one relay more
-    core::Duration ownReading{std::chrono::milliseconds{600}}; //!< From the start, until the store is asked in earnest
-    core::Duration relayPatience{
+    core::Duration extraRelayAfter{
+        std::chrono::milliseconds{120}}; //!< Without a copy for so long, follow one relay more
+    core::Duration storeReadAfter{
+        std::chrono::milliseconds{600}}; //!< From the start, until the store is asked in earnest
+    core::Duration relayUpExtension{
         std::chrono::milliseconds{200}}; //!< So much later while a relay's link is up; it serves 25 others beside
-    core::Duration spread{std::chrono::milliseconds{700}}; //!< Over which nodes that ask in earnest do so, at random
-    core::Duration earlyAfter{std::chrono::milliseconds{
+    core::Duration storeReadSpread{
+        std::chrono::milliseconds{700}}; //!< Over which nodes that ask in earnest do so, at random
+    core::Duration earlyReadAfter{std::chrono::milliseconds{
         20}}; //!< From the start without a link: seeds may get power last, so the store is tried
-    core::Duration earlyPatience{
+    core::Duration earlyReadTimeout{
         std::chrono::milliseconds{40}}; //!< With that reading; 17 nodes take 18 ms, and 100 ms by 473 held up the seeds
-    core::Duration seedPatience{std::chrono::milliseconds{40}}; //!< From the start, for a seed to reach another seed
-    core::Duration seedAnswer{std::chrono::milliseconds{
+    core::Duration seedConnectWait{std::chrono::milliseconds{40}}; //!< From the start, for a seed to reach another seed
+    core::Duration seedAnswerWait{std::chrono::milliseconds{
         150}}; //!< From the start, for a seed that it reached to send a copy or that it has none
-    core::Duration aliveWithin{
+    core::Duration progressWindow{
         std::chrono::milliseconds{150}}; //!< Bytes of a copy came so lately: it is on its way, the store is not asked
-    core::Duration longest{std::chrono::seconds{2}}; //!< From the start; the store is asked in any case then
-    unsigned       mostRelays{3};                    //!< Relays followed at once
+    core::Duration maxStoreReadDelay{std::chrono::seconds{2}}; //!< From the start; the store is asked in any case then
+    unsigned       maxRelays{3};                               //!< Relays followed at once
 };
 
 ////////////////////////////////////////////////////////////
@@ -60,57 +63,58 @@
 /// Limits: whoever has heard nothing in the time that its own reading would
 /// take in a crowd asks the store, spread at random so that a fleet whose
 /// seeds are all gone does not come at once. A relay that stays silent delays
-/// its followers by `oneMore`, then they follow another beside it.
+/// its followers by `extraRelayAfter`, then they follow another beside it.
 ////////////////////////////////////////////////////////////
 class Bootstrap
 {
 public:
-    Bootstrap(NodeAddress self, std::vector<std::string> seeds, core::Timestamp born, core::Random& random);
+    Bootstrap(NodeAddress self, std::vector<std::string> seeds, core::Timestamp startedAt, core::Random& random);
 
-    void named(std::span<const NodeAddress> relays, core::Timestamp now); //!< A seed named the relays
-    void lacking();                                                       //!< Some node said that it has no copy
-    void storeIll(core::Timestamp now, core::Random& random); //!< A node without a copy said that the store failed it
-    void reached(const std::string& address, core::Timestamp now);     //!< A link is up
-    void unreachable(const std::string& address, core::Timestamp now); //!< A link did not come up, or ended
-    void bytesCame(core::Timestamp now);                               //!< A part of an update came
+    void setRelays(std::span<const NodeAddress> relays, core::Timestamp now); //!< A seed named the relays
+    void peerHasNoCopy();                                                     //!< Some node said that it has no copy
+    void peerStoreFailed(core::Timestamp now,
+                         core::Random&   random); //!< A node without a copy said that the store failed it
+    void linkUp(const std::string& address, core::Timestamp now);   //!< A link is up
+    void linkDown(const std::string& address, core::Timestamp now); //!< A link did not come up, or ended
+    void updateProgressed(core::Timestamp now);                     //!< A part of an update came
 
-    [[nodiscard]] bool           relays() const;                            //!< This node is to hand on first copies
-    [[nodiscard]] core::Duration linkPatience(core::Timestamp since) const; //!< For a link begun then to come up
-    [[nodiscard]] std::vector<std::string> upstreams(core::Timestamp now) const;  //!< Nodes to follow
-    [[nodiscard]] bool                     readsStore(core::Timestamp now) const; //!< The store is to be asked now
-    [[nodiscard]] bool            readsEarly(core::Timestamp now) const; //!< A short, cheap reading is worth trying
-    [[nodiscard]] core::Timestamp earlyReading(core::Timestamp now);     //!< It begins; when it is to be given up
-    [[nodiscard]] core::Timestamp nextDue(core::Timestamp now) const;    //!< When that may change
+    [[nodiscard]] bool           isRelay() const;                          //!< This node is to hand on first copies
+    [[nodiscard]] core::Duration linkTimeout(core::Timestamp since) const; //!< For a link begun then to come up
+    [[nodiscard]] std::vector<std::string> upstreamsToFollow(core::Timestamp now) const; //!< Nodes to follow
+    [[nodiscard]] bool                     shouldReadStore(core::Timestamp now) const; //!< The store is to be asked now
+    [[nodiscard]] bool shouldReadEarly(core::Timestamp now) const;     //!< A short, cheap reading is worth trying
+    [[nodiscard]] core::Timestamp beginEarlyRead(core::Timestamp now); //!< It begins; when it is to be given up
+    [[nodiscard]] core::Timestamp nextDue(core::Timestamp now) const;  //!< When that may change
 
 private:
     /// \brief A node that could not be reached
     struct Failure
     {
-        unsigned        count{0}; //!< In a row
-        core::Timestamp until{};  //!< Not tried again before
+        unsigned        count{0};  //!< In a row
+        core::Timestamp retryAt{}; //!< Not tried again before
     };
 
     [[nodiscard]] std::vector<std::string> seedsToFollow(core::Timestamp now) const;
     [[nodiscard]] std::vector<std::string> relaysToFollow(core::Timestamp now) const;
-    [[nodiscard]] bool                     noOtherSeed() const;
-    [[nodiscard]] bool                     reachable(const std::string& address, core::Timestamp now) const;
-    [[nodiscard]] std::size_t              patienceCount(core::Timestamp since, core::Timestamp now) const;
+    [[nodiscard]] bool                     allSeedsFailed() const;
+    [[nodiscard]] bool                     mayTry(const std::string& address, core::Timestamp now) const;
+    [[nodiscard]] std::size_t              followLimit(core::Timestamp since, core::Timestamp now) const;
 
-    BootstrapSettings              m_settings;          //!< Constants
-    NodeAddress                    m_self;              //!< This node
-    std::vector<std::string>       m_seeds;             //!< Others only, in this node's order
-    bool                           m_isSeed{false};     //!< Others know this node from their start
-    core::Timestamp                m_born;              //!< Start
-    core::Timestamp                m_readAt;            //!< The store is asked in earnest
-    core::Timestamp                m_bytesAt{};         //!< A part of an update came last
-    bool                           m_relays{false};     //!< It was named
-    bool                           m_triedEarly{false}; //!< A short reading was begun
-    bool                           m_lacking{false};    //!< Somebody else has no copy either
-    std::vector<NodeAddress>       m_named;             //!< Relays, as named last
-    core::Timestamp                m_namedAt{};         //!< Named first
-    std::map<std::string, Failure> m_failures;          //!< By address
-    std::optional<core::Timestamp> m_seedSince;         //!< A seed was reached first
-    std::set<std::string>          m_reached;           //!< Links to these are up
+    BootstrapSettings              m_settings;                //!< Constants
+    NodeAddress                    m_self;                    //!< This node
+    std::vector<std::string>       m_seeds;                   //!< Others only, in this node's order
+    bool                           m_isSeed{false};           //!< Others know this node from their start
+    core::Timestamp                m_startedAt;               //!< Start
+    core::Timestamp                m_storeReadAt;             //!< The store is asked in earnest
+    core::Timestamp                m_progressAt{};            //!< A part of an update came last
+    bool                           m_isRelay{false};          //!< It was named
+    bool                           m_earlyReadStarted{false}; //!< A short reading was begun
+    bool                           m_peerHasNoCopy{false};    //!< Somebody else has no copy either
+    std::vector<NodeAddress>       m_relays;                  //!< Relays, as named last
+    core::Timestamp                m_relaysSince{};           //!< Named first
+    std::map<std::string, Failure> m_failures;                //!< By address
+    std::optional<core::Timestamp> m_seedLinkSince;           //!< A seed was reached first
+    std::set<std::string>          m_linksUp;                 //!< Links to these are up
 };
 
 } // namespace sailpath::replication
--- a/include/sailpath/replication/BootstrapRelays.hpp
+++ b/include/sailpath/replication/BootstrapRelays.hpp
@@ -22,7 +22,7 @@
 /// a data centre, the strongest known, and sends it nothing but names.
 ///
 /// Limits: a few nodes are served by the seed itself. Names are given
-/// `gather` after more came, as the first to come are not the strongest; and
+/// `gatherDelay` after more came, as the first to come are not the strongest; and
 /// whoever is named stays so unless a stronger one comes, or each newcomer
 /// would be named for a moment and read the store.
 ////////////////////////////////////////////////////////////
@@ -31,9 +31,9 @@
 public:
     explicit BootstrapRelays(std::uint32_t capacity);
 
-    void waiting(std::size_t followers, core::Timestamp now); //!< So many followers have no copy
-    void served(core::Timestamp now);                         //!< A copy was sent
-    bool mayServe(core::Timestamp now); //!< In a crowd, whether one who waited long gets a copy here all the same
+    void updateWaiting(std::size_t followers, core::Timestamp now); //!< So many followers have no copy
+    void copySent(core::Timestamp now);                             //!< A copy was sent
+    bool tryServe(core::Timestamp now); //!< In a crowd, whether one who waited long gets a copy here all the same
 
     ////////////////////////////////////////////////////////////
     /// \brief Choose anew, if there is a crowd and nodes are new
@@ -44,27 +44,27 @@
     ////////////////////////////////////////////////////////////
     void refresh(std::span<const NodeAddress> nodes, std::uint64_t changes, core::Timestamp now);
 
-    [[nodiscard]] bool crowd() const; //!< Newcomers are referred to relays
-    [[nodiscard]] bool wantsRefresh(std::uint64_t changes, core::Timestamp now) const;
+    [[nodiscard]] bool isCrowded() const; //!< Newcomers are referred to relays
+    [[nodiscard]] bool needsRefresh(std::uint64_t changes, core::Timestamp now) const;
     [[nodiscard]] std::optional<core::Timestamp>
                                                nextRefresh(std::uint64_t changes) const; //!< When it would do something
     [[nodiscard]] std::span<const NodeAddress> relaysOf(const std::string& dataCentre) const;
     [[nodiscard]] bool                         isRelay(const NodeAddress& node) const;
-    [[nodiscard]] std::vector<NodeAddress>     namesFor(const NodeAddress& node) const; //!< What it is to be told
-    [[nodiscard]] std::uint64_t                hashFor(const NodeAddress& node) const;  //!< Of what it is to be told
+    [[nodiscard]] std::vector<NodeAddress>     relaysFor(const NodeAddress& node) const; //!< What it is to be told
+    [[nodiscard]] std::uint64_t relaysHashFor(const NodeAddress& node) const;            //!< Of what it is to be told
 
 private:
-    std::map<std::string, std::vector<NodeAddress>, std::less<>> m_relays;       //!< By data centre
-    bool                                                         m_crowd{false}; //!< More came than are served here
-    std::uint32_t                                                m_capacity;     //!< Of the seed
-    core::Timestamp                                              m_crowdSince{}; //!< Beginning of the crowd
-    bool                        m_lacks{false};  //!< Some data centre has no relay, as stronger nodes are awaited
-    std::size_t                 m_few;           //!< Served by the seed itself
-    std::deque<core::Timestamp> m_servedAt;      //!< Copies sent of late
-    core::Duration              m_pace;          //!< Between copies in a crowd
-    core::Timestamp             m_serveNext{};   //!< Not before
-    core::Timestamp             m_nextRefresh{}; //!< Not before
-    std::uint64_t               m_changes{0};    //!< At the last choice
+    std::map<std::string, std::vector<NodeAddress>, std::less<>> m_relays;           //!< By data centre
+    bool                                                         m_isCrowded{false}; //!< More came than are served here
+    std::uint32_t                                                m_capacity;         //!< Of the seed
+    core::Timestamp                                              m_crowdedSince{};   //!< Beginning of the crowd
+    bool        m_awaitsStronger{false};           //!< Some data centre has no relay, as stronger nodes are awaited
+    std::size_t m_maxServed;                       //!< Served by the seed itself
+    std::deque<core::Timestamp> m_sentAt;          //!< Copies sent of late
+    core::Duration              m_serveInterval;   //!< Between copies in a crowd
+    core::Timestamp             m_nextServeAt{};   //!< Not before
+    core::Timestamp             m_nextRefreshAt{}; //!< Not before
+    std::uint64_t               m_lastChanges{0};  //!< At the last choice
 };
 
 ////////////////////////////////////////////////////////////
@@ -79,6 +79,7 @@
 /// \param leastStrong Capacity that the strongest node is taken to have at least
 ////////////////////////////////////////////////////////////
 [[nodiscard]] std::vector<NodeAddress> chooseRelays(std::span<const NodeAddress> nodes, std::string_view dataCentre,
-                                                    std::span<const NodeAddress> named, std::uint32_t leastStrong = 0);
+                                                    std::span<const NodeAddress> current,
+                                                    std::uint32_t                assumedCapacity = 0);
 
 } // namespace sailpath::replication
--- a/include/sailpath/replication/ItemSource.hpp
+++ b/include/sailpath/replication/ItemSource.hpp
@@ -12,7 +12,7 @@
 ////////////////////////////////////////////////////////////
 /// \brief How a call of the store ended
 ////////////////////////////////////////////////////////////
-enum class SourceStatus
+enum class ReadStatus
 {
     Ok,          //!< It was answered
     HistoryLost, //!< The changes after that revision are not known any more
@@ -24,32 +24,32 @@
 ////////////////////////////////////////////////////////////
 enum class WriteStatus
 {
-    Done,    //!< It was written
-    Changed, //!< The item is not as was expected
-    Unknown  //!< It was refused, or it may still be done
+    Done,     //!< It was written
+    Conflict, //!< The item is not as was expected
+    Unknown   //!< It was refused, or it may still be done
 };
 
 ////////////////////////////////////////////////////////////
 /// \brief How a reading of all items may be served
 ////////////////////////////////////////////////////////////
-enum class Reading
+enum class ReadMode
 {
-    Latest,  //!< As of the time of the call at the earliest
-    MayBeOld //!< As of seconds ago perhaps; cheaper
+    Latest,    //!< As of the time of the call at the earliest
+    MayBeStale //!< As of seconds ago perhaps; cheaper
 };
 
 ////////////////////////////////////////////////////////////
 /// \brief What a call of the store brought
 ////////////////////////////////////////////////////////////
-struct SourceAnswer
+struct ReadResult
 {
-    SourceStatus      status{SourceStatus::Failed}; //!< How it ended
-    std::vector<Item> items;                        //!< All items, or changes
-    std::uint64_t     at{0};                        //!< The store's revision; of a reading, the oldest of its parts
-    std::uint64_t     upTo{0};                      //!< Of a reading: revision that no part is newer than
-    bool              snapshot{false};              //!< A reading, of one moment and of the time of the call at least
-    std::string       why;                          //!< For the log, when it failed
-    std::uint64_t     bytes{0};                     //!< Of the answers' bodies
+    ReadStatus        status{ReadStatus::Failed}; //!< How it ended
+    std::vector<Item> items;                      //!< All items, or changes
+    std::uint64_t     at{0};                      //!< The store's revision; of a reading, the oldest of its parts
+    std::uint64_t     upTo{0};                    //!< Of a reading: revision that no part is newer than
+    bool              snapshot{false};            //!< A reading, of one moment and of the time of the call at least
+    std::string       error;                      //!< For the log, when it failed
+    std::uint64_t     bytes{0};                   //!< Of the answers' bodies
 };
 
 ////////////////////////////////////////////////////////////
@@ -61,22 +61,25 @@
 class ItemSource
 {
 public:
-    using Answered = std::function<void(SourceAnswer)>;
-    using Written = std::function<void(WriteStatus)>;
+    using ReadCallback = std::function<void(ReadResult)>;
+    using WriteCallback = std::function<void(WriteStatus)>;
 
     virtual ~ItemSource() = default;
 
-    virtual void read(Reading how, Answered answered) = 0; //!< All items
+    virtual void read(ReadMode mode, ReadCallback callback) = 0; //!< All items
 
-    virtual void watch(std::uint64_t after, core::Duration wait, Answered answered) = 0; //!< Changes after a revision
+    virtual void watch(std::uint64_t after, core::Duration wait,
+                       ReadCallback callback) = 0; //!< Changes after a revision
 
-    virtual void create(const std::string& key, const std::string& value, Written written) = 0; //!< If it is absent
+    virtual void create(const std::string& key, const std::string& value,
+                        WriteCallback callback) = 0; //!< If it is absent
 
-    virtual void replace(const Item& item, Written written) = 0; //!< If it still has the revision; `gone` removes it
+    virtual void replace(const Item&   item,
+                         WriteCallback callback) = 0; //!< If it still has the revision; `gone` removes it
 
-    virtual void giveUp() = 0; //!< The reading call under way is not answered any more, and its connection ends
+    virtual void cancelRead() = 0; //!< The reading call under way is not answered any more, and its connection ends
 
-    [[nodiscard]] virtual std::uint64_t calls() const = 0; //!< Calls made since the start
+    [[nodiscard]] virtual std::uint64_t callCount() const = 0; //!< Calls made since the start
 };
 
 } // namespace sailpath::replication
--- a/include/sailpath/replication/ItemTable.hpp
+++ b/include/sailpath/replication/ItemTable.hpp
@@ -14,12 +14,12 @@
 
 namespace sailpath::replication
 {
-constexpr std::size_t largeValue = 4096; //!< Bytes from which a value is told as the difference from an earlier one
+constexpr std::size_t largeValueSize = 4096; //!< Bytes from which a value is told as the difference from an earlier one
 
 ////////////////////////////////////////////////////////////
 /// \brief Items of another copy whose last change lies after a revision
 ////////////////////////////////////////////////////////////
-struct Changes
+struct PeerChanges
 {
     std::uint64_t         after{0};      //!< All of that copy's items that changed after this revision are here
     std::uint64_t         at{0};         //!< Revision that the other copy is complete as of
@@ -50,7 +50,7 @@
     /// \param at      Revision that they bring the table to
     /// \param changed Receives the items that changed here
     ////////////////////////////////////////////////////////////
-    void take(std::span<const Item> items, std::uint64_t at, std::vector<Item>& changed);
+    void apply(std::span<const Item> items, std::uint64_t at, std::vector<Item>& changed);
 
     ////////////////////////////////////////////////////////////
     /// \brief Take what another copy tells
@@ -60,12 +60,12 @@
     /// \param changes What it tells; `after` is not higher than this copy's `at`
     /// \param changed Receives the items that changed here
     ////////////////////////////////////////////////////////////
-    void take(const Changes& changes, std::vector<Item>& changed);
+    void apply(const PeerChanges& changes, std::vector<Item>& changed);
 
     ////////////////////////////////////////////////////////////
     /// \brief Take all items as they stood at a revision
     ////////////////////////////////////////////////////////////
-    void takeSnapshot(std::span<const Item> items, std::uint64_t at, std::vector<Item>& changed);
+    void applySnapshot(std::span<const Item> items, std::uint64_t at, std::vector<Item>& changed);
 
     ////////////////////////////////////////////////////////////
     /// \brief Take all items as they stood at a revision or later, not all at the same
@@ -75,12 +75,13 @@
     /// \param upTo    Revision that none is newer than; the copy is exact again when it is of that
     /// \param changed Receives the items that changed here
     ////////////////////////////////////////////////////////////
-    void takeReading(std::span<const Item> items, std::uint64_t at, std::uint64_t upTo, std::vector<Item>& changed);
+    void applyNonAtomicRead(std::span<const Item> items, std::uint64_t at, std::uint64_t upTo,
+                            std::vector<Item>& changed);
 
     ////////////////////////////////////////////////////////////
     /// \brief Items that changed after a revision, known removals included
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] std::vector<Item> since(std::uint64_t revision) const;
+    [[nodiscard]] std::vector<Item> changesAfter(std::uint64_t revision) const;
 
     ////////////////////////////////////////////////////////////
     /// \brief Items that changed here since a moment though they are not newer than a revision
@@ -90,7 +91,7 @@
     /// \param sequence Value of `sequence` at that moment
     /// \param revision Items with higher revisions are left out
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] std::vector<Item> late(std::uint64_t sequence, std::uint64_t revision) const;
+    [[nodiscard]] std::vector<Item> lateChanges(std::uint64_t sequence, std::uint64_t revision) const;
 
     ////////////////////////////////////////////////////////////
     /// \brief All items that exist
@@ -104,12 +105,12 @@
     ///
     /// \return That revision, or a lower one; 0 when it needs the whole picture
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] std::uint64_t tellAfter(std::uint64_t revision) const;
+    [[nodiscard]] std::uint64_t resendAfter(std::uint64_t revision) const;
 
     ////////////////////////////////////////////////////////////
     /// \brief Whether keys may have come and gone after a revision without a trace here
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] bool gapAfter(std::uint64_t revision) const;
+    [[nodiscard]] bool hasGapAfter(std::uint64_t revision) const;
 
     ////////////////////////////////////////////////////////////
     /// \brief A large value as another copy had it
@@ -119,13 +120,13 @@
     ///
     /// \return The item as of its last change up to then; null when that is not kept
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] const Item* asOf(std::string_view key, std::uint64_t at) const;
+    [[nodiscard]] const Item* itemAsOf(std::string_view key, std::uint64_t at) const;
 
-    [[nodiscard]] std::uint64_t looked() const;         //!< Counts items looked at for what changed after a revision
-    [[nodiscard]] std::uint64_t at() const;             //!< Revision that the table is of; 0 before the first
-    [[nodiscard]] bool          exact() const;          //!< No gap is open
+    [[nodiscard]] std::uint64_t examinedItems() const;  //!< Counts items looked at for what changed after a revision
+    [[nodiscard]] std::uint64_t revision() const;       //!< Revision that the table is of; 0 before the first
+    [[nodiscard]] bool          isExact() const;        //!< No gap is open
     [[nodiscard]] std::uint64_t sequence() const;       //!< Counts changes of items here
-    [[nodiscard]] std::uint64_t oldestSequence() const; //!< `late` tells all since then
+    [[nodiscard]] std::uint64_t oldestSequence() const; //!< `lateChanges` tells all since then
 
 private:
     /// \brief Changes from one revision to another were skipped
@@ -135,15 +136,15 @@
         std::uint64_t to;   //!< And again as of this one
     };
 
-    void               takeAll(std::span<const Item> items, std::uint64_t at, std::vector<Item>& changed);
+    void               applyAll(std::span<const Item> items, std::uint64_t at, std::vector<Item>& changed);
     [[nodiscard]] bool addsNothing(std::uint64_t at) const;
-    void               put(const Item& item, std::vector<Item>& changed);
+    void               applyItem(const Item& item, std::vector<Item>& changed);
     void removeUnlisted(std::span<const Item> items, std::uint64_t after, std::uint64_t at, std::vector<Item>& changed);
-    void advance(std::uint64_t at);
-    void noteGap(std::uint64_t from, std::uint64_t to);
-    void keepFormer(Item item);
-    void forgetRemovals();
-    void noteRecent(const Item& former, const Item& item);
+    void advanceTo(std::uint64_t at);
+    void recordGap(std::uint64_t from, std::uint64_t to);
+    void keepPrevious(Item item);
+    void pruneRemovals();
+    void indexChange(const Item& previous, const Item& item);
 
     ////////////////////////////////////////////////////////////
     /// \brief Call for each item whose last change lies after a revision, removals included, in no order
@@ -151,21 +152,22 @@
     /// \param visit Called with the item
     ////////////////////////////////////////////////////////////
     template <typename Visit>
-    void forEachSince(std::uint64_t revision, Visit visit) const;
-
-    std::map<std::string, Item, std::less<>>  m_items;             //!< By key; removals are kept for a while
-    std::uint64_t                             m_at{0};             //!< Revision that the table is of
-    std::uint64_t                             m_forgotten{0};      //!< Highest revision of a removal that was forgotten
-    std::multimap<std::uint64_t, std::string> m_removals;          //!< Keys of removals kept, by revision
-    std::multimap<std::uint64_t, std::string> m_recent;            //!< Keys by the revision of their last change
-    std::uint64_t                             m_recentAfter{0};    //!< Items with higher revisions are in `m_recent`
-    mutable std::uint64_t                     m_looked{0};         //!< Items looked at for what changed
-    std::map<std::string, std::deque<Item>, std::less<>> m_former; //!< Earlier large values by key, newest first
-    std::deque<std::string>                              m_changedKeys; //!< Of the last changes here, newest last
-    std::uint64_t                                        m_sequence{0}; //!< Changes here so far
-    std::vector<Gap>                                     m_gaps;        //!< In order
-    bool                                                 m_open{false}; //!< The last gap goes on
-    std::uint64_t                                        m_openUpTo{0}; //!< Until the copy is of this revision
+    void forEachChangedAfter(std::uint64_t revision, Visit visit) const;
+
+    std::map<std::string, Item, std::less<>>  m_items;            //!< By key; removals are kept for a while
+    std::uint64_t                             m_revision{0};      //!< Revision that the table is of
+    std::uint64_t                             m_prunedUpTo{0};    //!< Highest revision of a removal that was forgotten
+    std::multimap<std::uint64_t, std::string> m_removals;         //!< Keys of removals kept, by revision
+    std::multimap<std::uint64_t, std::string> m_byRevision;       //!< Keys by the revision of their last change
+    std::uint64_t                             m_indexedAfter{0};  //!< Items with higher revisions are in `m_byRevision`
+    mutable std::uint64_t                     m_examinedItems{0}; //!< Items looked at for what changed
+    std::map<std::string, std::deque<Item>, std::less<>>
+                            m_previousValues;     //!< Earlier large values by key, newest first
+    std::deque<std::string> m_changedKeys;        //!< Of the last changes here, newest last
+    std::uint64_t           m_sequence{0};        //!< Changes here so far
+    std::vector<Gap>        m_gaps;               //!< In order
+    bool                    m_lastGapOpen{false}; //!< The last gap goes on
+    std::uint64_t           m_gapOpenUpTo{0};     //!< Until the copy is of this revision
 };
 
 } // namespace sailpath::replication
--- a/include/sailpath/replication/Message.hpp
+++ b/include/sailpath/replication/Message.hpp
@@ -51,10 +51,10 @@
     double        sent{0};      //!< Requests
     double        doublings{0}; //!< How open the server is to the node: binary logarithm of a request's chance
 
-    [[nodiscard]] bool pressed() const //!< Little is saved up, so that others have to hear at once
+    [[nodiscard]] bool isNearLimit() const //!< Little is saved up, so that others have to hear at once
     {
-        constexpr double littleSaved = 1;
-        return doublings <= littleSaved;
+        constexpr double nearLimitDoublings = 1;
+        return doublings <= nearLimitDoublings;
     }
 
     friend bool operator==(const LimitRecord&, const LimitRecord&) = default;
@@ -74,14 +74,14 @@
     std::vector<core::ContentHash> served{};  //!< Requests that had been at such servers and were answered since
     std::vector<LimitRecord>       limits{};  //!< Servers that take only so much
 
-    [[nodiscard]] bool urgent() const //!< It is not to wait for the next regular message
+    [[nodiscard]] bool isUrgent() const //!< It is not to wait for the next regular message
     {
-        const bool pressed =
-            std::any_of(limits.begin(), limits.end(), [](const LimitRecord& limit) { return limit.pressed(); });
-        return !ends.empty() || !served.empty() || pressed;
+        const bool nearLimit =
+            std::any_of(limits.begin(), limits.end(), [](const LimitRecord& limit) { return limit.isNearLimit(); });
+        return !ends.empty() || !served.empty() || nearLimit;
     }
 
-    [[nodiscard]] bool soon() const //!< It may wait for others, though not for the next regular message
+    [[nodiscard]] bool hasLimits() const //!< It may wait for others, though not for the next regular message
     {
         return !limits.empty();
     }
@@ -127,7 +127,8 @@
     std::vector<NodeAddress>  nodes;         //!< Nodes known of; empty when left out; of a seed without a copy for its
                                              //!< follower (`at` is 0): the relays to follow instead
     std::vector<ServerReport> news;          //!< Heard since the last update
-    std::shared_ptr<const std::vector<Item>> whole; //!< With `full`: all items in place of `items`, one list for all
+    std::shared_ptr<const std::vector<Item>>
+        sharedItems; //!< With `full`: all items in place of `items`, one list for all
 };
 
 ////////////////////////////////////////////////////////////
--- a/include/sailpath/replication/Replica.hpp
+++ b/include/sailpath/replication/Replica.hpp
@@ -56,7 +56,7 @@
 
 struct ReadStore //!< Read all items; answer with `storeRead` or `storeFailed`
 {
-    Reading how{Reading::Latest}; //!< What will do
+    ReadMode how{ReadMode::Latest}; //!< What will do
 };
 struct WatchStore //!< Ask for changes; answer with `storeChanged`, `historyLost` or `storeFailed`
 {
--- a/include/sailpath/replication/ServerGossip.hpp
+++ b/include/sailpath/replication/ServerGossip.hpp
@@ -15,7 +15,7 @@
 ////////////////////////////////////////////////////////////
 /// \brief Where a report came from
 ////////////////////////////////////////////////////////////
-struct NewsSource
+struct ReportSource
 {
     std::uint64_t link{0};          //!< Number of the link; 0 for this node's own
     bool          fromRelay{false}; //!< The far end is a relay of this node
@@ -43,37 +43,38 @@
 class ServerGossip
 {
 public:
-    static constexpr std::chrono::milliseconds gather{60}; //!< That limits which are not pressed wait for others
+    static constexpr std::chrono::milliseconds batchDelay{60}; //!< That limits which are not pressed wait for others
 
     explicit ServerGossip(std::uint32_t self);
 
-    void saw(std::uint32_t server);                           //!< This node saw it fail
-    void sawEnd(const EndRecord& record, core::Timestamp at); //!< This node saw a server end then
-    void sawServed(const core::ContentHash& content);         //!< This node passed on an answer to such a request
-    void heard(std::span<const ServerReport> reports, NewsSource source, core::Timestamp now); //!< A peer told them
-    void limited(const LimitRecord& record, core::Timestamp at); //!< This node heard or sent that, the word as of then
-    void tick(core::Timestamp now);                              //!< Makes a report of what was seen
+    void recordFailure(std::uint32_t server);                    //!< This node saw it fail
+    void recordEnd(const EndRecord& record, core::Timestamp at); //!< This node saw a server end then
+    void recordServed(const core::ContentHash& content);         //!< This node passed on an answer to such a request
+    void receive(std::span<const ServerReport> reports, ReportSource source, core::Timestamp now); //!< A peer told them
+    void recordLimit(const LimitRecord& record,
+                     core::Timestamp    at); //!< This node heard or sent that, the word as of then
+    void tick(core::Timestamp now);       //!< Makes a report of what was seen
 
-    [[nodiscard]] std::uint64_t                  end() const;        //!< Count of all reports so far
-    [[nodiscard]] std::optional<core::Timestamp> nextUrgent() const; //!< When `tick` has an urgent report to make
-    [[nodiscard]] bool urgentSince(std::uint64_t count) const;       //!< One of those after `count` is not to wait
-    [[nodiscard]] bool soonSince(std::uint64_t count) const;         //!< Or is to wait no longer than `gather`
-    [[nodiscard]] std::vector<ServerReport>   forFollower(std::uint64_t count,
-                                                          std::uint64_t link) const;    //!< After `count`
-    [[nodiscard]] std::optional<ServerReport> limitsInForce(core::Timestamp now) const; //!< For a follower that joins
-    [[nodiscard]] std::vector<ServerReport>   forRelay(std::uint64_t count) const;      //!< After `count`
-    [[nodiscard]] std::vector<ServerReport>   takeNews(); //!< Of other nodes, not taken yet
+    [[nodiscard]] std::uint64_t                  reportCount() const;   //!< Count of all reports so far
+    [[nodiscard]] std::optional<core::Timestamp> nextReportDue() const; //!< When `tick` has an urgent report to make
+    [[nodiscard]] bool hasUrgentSince(std::uint64_t count) const;       //!< One of those after `count` is not to wait
+    [[nodiscard]] bool hasLimitsSince(std::uint64_t count) const;       //!< Or is to wait no longer than `batchDelay`
+    [[nodiscard]] std::vector<ServerReport>   reportsForFollower(std::uint64_t count,
+                                                                 std::uint64_t link) const; //!< After `count`
+    [[nodiscard]] std::optional<ServerReport> currentLimits(core::Timestamp now) const;   //!< For a follower that joins
+    [[nodiscard]] std::vector<ServerReport>   reportsForRelay(std::uint64_t count) const; //!< After `count`
+    [[nodiscard]] std::vector<ServerReport>   takeReceived(); //!< Of other nodes, not taken yet
 
 private:
     struct Entry
     {
         ServerReport    report;
-        NewsSource      source;
+        ReportSource    source;
         core::Timestamp at; //!< When it came here
     };
 
     /// \brief What this node saw, not reported yet
-    struct Seen
+    struct Pending
     {
         std::vector<std::uint32_t>                           servers; //!< That failed
         std::vector<std::pair<EndRecord, core::Timestamp>>   ends;    //!< And when
@@ -82,26 +83,26 @@
     };
 
     /// \brief The last word of a limited server that passed here
-    struct Word
+    struct KnownLimit
     {
         LimitRecord     record;
         core::Timestamp at; //!< When the server said so
     };
 
-    void               keep(const ServerReport& report, core::Timestamp now);
-    void               add(ServerReport report, const NewsSource& source, core::Timestamp now);
-    [[nodiscard]] bool due(core::Timestamp now) const;
+    void               rememberLimits(const ServerReport& report, core::Timestamp now);
+    void               append(ServerReport report, const ReportSource& source, core::Timestamp now);
+    [[nodiscard]] bool isReportDue(core::Timestamp now) const;
 
-    std::uint32_t                          m_self;         //!< Hash of this node's address
-    Seen                                   m_seen;         //!< Since the last own report
-    core::Timestamp                        m_nextReport{}; //!< Not before, unless it is urgent
-    core::Timestamp                        m_nextSoon{};   //!< Not before
-    core::Timestamp                        m_nextUrgent{}; //!< Not before
-    std::deque<Entry>                      m_entries;      //!< Oldest first
-    std::uint64_t                          m_begin{0};     //!< Reports forgotten
-    std::map<std::uint32_t, std::uint32_t> m_lastOf;       //!< Highest number heard, by origin
-    std::map<std::uint32_t, Word>          m_words;        //!< By server, while it is limited
-    std::vector<ServerReport>              m_news;         //!< Not taken yet
+    std::uint32_t                          m_self;            //!< Hash of this node's address
+    Pending                                m_pending;         //!< Since the last own report
+    core::Timestamp                        m_nextRegularAt{}; //!< Not before, unless it is urgent
+    core::Timestamp                        m_nextLimitsAt{};  //!< Not before
+    core::Timestamp                        m_nextUrgentAt{};  //!< Not before
+    std::deque<Entry>                      m_entries;         //!< Oldest first
+    std::uint64_t                          m_dropped{0};      //!< Reports forgotten
+    std::map<std::uint32_t, std::uint32_t> m_lastNumbers;     //!< Highest number heard, by origin
+    std::map<std::uint32_t, KnownLimit>    m_knownLimits;     //!< By server, while it is limited
+    std::vector<ServerReport>              m_received;        //!< Not taken yet
 };
 
 } // namespace sailpath::replication
--- a/include/sailpath/replication/ValueDelta.hpp
+++ b/include/sailpath/replication/ValueDelta.hpp
@@ -12,7 +12,7 @@
 ////////////////////////////////////////////////////////////
 namespace sailpath::replication
 {
-constexpr std::size_t longestValue = std::size_t{64} << 20U; //!< Bytes; what claims to be longer is not unpacked
+constexpr std::size_t maxValueSize = std::size_t{64} << 20U; //!< Bytes; what claims to be longer is not unpacked
 
 ////////////////////////////////////////////////////////////
 /// \brief Pack a value
--- a/src/sailpath/adapters/links/Codec.cpp
+++ b/src/sailpath/adapters/links/Codec.cpp
@@ -353,7 +353,7 @@
         get(node, to.nodes);
     to.news = getNews(update);
     if (update.hasPackedItems())
-        to.whole = unpackItems(update.getPackedItems());
+        to.sharedItems = unpackItems(update.getPackedItems());
     return to;
 }
 
@@ -378,9 +378,9 @@
     std::string                 packedHere;
     if (const auto* update = std::get_if<replication::Update>(&message))
     {
-        if (update->whole && packedItems.empty())
-            packedItems = packedHere = packItems(*update->whole);
-        put(root, *update, update->whole ? packedItems : std::string_view());
+        if (update->sharedItems && packedItems.empty())
+            packedItems = packedHere = packItems(*update->sharedItems);
+        put(root, *update, update->sharedItems ? packedItems : std::string_view());
     }
     else if (const auto* hello = std::get_if<replication::Hello>(&message))
         put(root, *hello);
--- a/src/sailpath/adapters/links/LinkHub.cpp
+++ b/src/sailpath/adapters/links/LinkHub.cpp
@@ -160,11 +160,11 @@
     std::string_view packedItems(const LinkMessage& message)
     {
         const auto* update = std::get_if<replication::Update>(&message);
-        if (update == nullptr || !update->whole)
+        if (update == nullptr || !update->sharedItems)
             return {};
-        if (packed != update->whole)
+        if (packed != update->sharedItems)
         {
-            packed = update->whole;
+            packed = update->sharedItems;
             packedBytes = packItems(*packed);
         }
         return packedBytes;
--- a/src/sailpath/fleet/FleetThread.cpp
+++ b/src/sailpath/fleet/FleetThread.cpp
@@ -20,8 +20,8 @@
 {
 using core::now;
 using replication::LinkId;
-using replication::SourceAnswer;
-using replication::SourceStatus;
+using replication::ReadResult;
+using replication::ReadStatus;
 
 constexpr auto nodesEvery =
     std::chrono::milliseconds{250}; // Hundreds of nodes come at once when a fleet starts; each telling copies all
@@ -233,14 +233,14 @@
         const auto asked = now();
         ++readings.times;
         source->read(action.how,
-                     [this, asked](const SourceAnswer& answer)
+                     [this, asked](const ReadResult& answer)
                      {
                          readings.bytes += answer.bytes;
                          const auto asOf = answer.snapshot ? std::optional(asked) : std::nullopt;
                          step(
                              [&]
                              {
-                                 if (answer.status == SourceStatus::Ok)
+                                 if (answer.status == ReadStatus::Ok)
                                      replica.storeRead(answer.items, answer.at, asOf, now(), answer.upTo);
                                  else
                                      failed(answer);
@@ -252,15 +252,15 @@
     {
         ++watches.times;
         source->watch(action.after, action.wait,
-                      [this](const SourceAnswer& answer)
+                      [this](const ReadResult& answer)
                       {
                           watches.bytes += answer.bytes;
                           step(
                               [&]
                               {
-                                  if (answer.status == SourceStatus::Ok)
+                                  if (answer.status == ReadStatus::Ok)
                                       replica.storeChanged(answer.items, answer.at, now());
-                                  else if (answer.status == SourceStatus::HistoryLost)
+                                  else if (answer.status == ReadStatus::HistoryLost)
                                       replica.historyLost(now());
                                   else
                                       failed(answer);
@@ -268,17 +268,17 @@
                       });
     }
 
-    void failed(const SourceAnswer& answer)
+    void failed(const ReadResult& answer)
     {
         if (!storeLost)
-            log.write(ports::Level::Warning, "store-lost", {{"why", answer.why}, ageField()});
+            log.write(ports::Level::Warning, "store-lost", {{"why", answer.error}, ageField()});
         storeLost = true;
         replica.storeFailed(now());
     }
 
     void perform(const replication::GiveUpStore&)
     {
-        source->giveUp();
+        source->cancelRead();
     }
 
     void perform(const replication::OpenLink& action)
@@ -487,12 +487,12 @@
         heard = replica.heardAt();
         if (proved && awaited)
             proved = std::min(*proved, awaitedSince);
-        shown = {replica.table().at(),
+        shown = {replica.table().revision(),
                  deployment ? deployment->version : 0,
                  age,
                  toldNodes,
                  replica.followers(),
-                 source->calls(),
+                 source->callCount(),
                  replica.watching(),
                  readings,
                  watches,
--- a/src/sailpath/replication/Bootstrap.cpp
+++ b/src/sailpath/replication/Bootstrap.cpp
@@ -8,129 +8,130 @@
 {
 namespace
 {
-constexpr unsigned mostDoublings = 2; // Of the time until an unreachable node is tried again
-constexpr int      patienceShare = 3; // Of the time since the start, as patience with a link
-constexpr double   illShare = 0.25;   // Of the spread, when a seed is without a copy as the store failed it
+constexpr unsigned maxDoublings = 2;        // Of the time until an unreachable node is tried again
+constexpr int      linkTimeoutShare = 3;    // Of the time since the start, as patience with a link
+constexpr double   failedStoreShare = 0.25; // Of the spread, when a seed is without a copy as the store failed it
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-Bootstrap::Bootstrap(NodeAddress self, std::vector<std::string> seeds, core::Timestamp born, core::Random& random) :
+Bootstrap::Bootstrap(NodeAddress self, std::vector<std::string> seeds, core::Timestamp startedAt,
+                     core::Random& random) :
 m_self(std::move(self)),
 m_seeds(std::move(seeds)),
-m_born(born)
+m_startedAt(startedAt)
 {
     m_isSeed = std::erase(m_seeds, m_self.address) > 0;
-    m_relays = m_isSeed;
+    m_isRelay = m_isSeed;
     // Each node begins with a seed of its own choice, so that these share the introductions.
     std::sort(m_seeds.begin(), m_seeds.end(),
               [this](const std::string& left, const std::string& right)
               { return core::hash(left + m_self.address) < core::hash(right + m_self.address); });
-    m_readAt = m_born + m_settings.ownReading +
-               core::fromMilliseconds(core::toMilliseconds(m_settings.spread) * random.unit());
+    m_storeReadAt = m_startedAt + m_settings.storeReadAfter +
+                    core::fromMilliseconds(core::toMilliseconds(m_settings.storeReadSpread) * random.unit());
 }
 
 ////////////////////////////////////////////////////////////
-void Bootstrap::named(std::span<const NodeAddress> relays, core::Timestamp now)
+void Bootstrap::setRelays(std::span<const NodeAddress> relays, core::Timestamp now)
 {
-    if (m_named.empty() && !relays.empty())
-        m_namedAt = now;
-    m_named.assign(relays.begin(), relays.end());
+    if (m_relays.empty() && !relays.empty())
+        m_relaysSince = now;
+    m_relays.assign(relays.begin(), relays.end());
     const auto isSelf = [this](const NodeAddress& node) { return node.address == m_self.address; };
-    m_relays = m_relays || std::any_of(m_named.begin(), m_named.end(), isSelf);
-    std::erase_if(m_named, isSelf);
-    std::sort(m_named.begin(), m_named.end(),
+    m_isRelay = m_isRelay || std::any_of(m_relays.begin(), m_relays.end(), isSelf);
+    std::erase_if(m_relays, isSelf);
+    std::sort(m_relays.begin(), m_relays.end(),
               [this](const NodeAddress& left, const NodeAddress& right)
               {
-                  const bool leftFar = left.dataCentre != m_self.dataCentre;
-                  const bool rightFar = right.dataCentre != m_self.dataCentre;
-                  return std::pair(leftFar, core::hash(left.address + m_self.address)) <
-                         std::pair(rightFar, core::hash(right.address + m_self.address));
+                  const bool leftRemote = left.dataCentre != m_self.dataCentre;
+                  const bool rightRemote = right.dataCentre != m_self.dataCentre;
+                  return std::pair(leftRemote, core::hash(left.address + m_self.address)) <
+                         std::pair(rightRemote, core::hash(right.address + m_self.address));
               });
 }
 
 ////////////////////////////////////////////////////////////
-void Bootstrap::lacking()
+void Bootstrap::peerHasNoCopy()
 {
-    m_lacking = true;
+    m_peerHasNoCopy = true;
 }
 
 ////////////////////////////////////////////////////////////
-void Bootstrap::storeIll(core::Timestamp now, core::Random& random)
+void Bootstrap::peerStoreFailed(core::Timestamp now, core::Random& random)
 {
-    const core::Duration part = m_settings.spread;
-    if (m_named.empty())
-        m_readAt =
-            std::min(m_readAt, now + core::fromMilliseconds(core::toMilliseconds(part) * illShare * random.unit()));
+    const core::Duration spread = m_settings.storeReadSpread;
+    if (m_relays.empty())
+        m_storeReadAt = std::min(m_storeReadAt, now + core::fromMilliseconds(core::toMilliseconds(spread) *
+                                                                             failedStoreShare * random.unit()));
 }
 
 ////////////////////////////////////////////////////////////
-bool Bootstrap::noOtherSeed() const
+bool Bootstrap::allSeedsFailed() const
 {
     return std::all_of(m_seeds.begin(), m_seeds.end(),
                        [this](const std::string& seed) { return m_failures.count(seed) > 0; });
 }
 
 ////////////////////////////////////////////////////////////
-void Bootstrap::reached(const std::string& address, core::Timestamp now)
+void Bootstrap::linkUp(const std::string& address, core::Timestamp now)
 {
-    if (!m_seedSince && std::find(m_seeds.begin(), m_seeds.end(), address) != m_seeds.end())
-        m_seedSince = now;
-    m_reached.insert(address);
+    if (!m_seedLinkSince && std::find(m_seeds.begin(), m_seeds.end(), address) != m_seeds.end())
+        m_seedLinkSince = now;
+    m_linksUp.insert(address);
 }
 
 ////////////////////////////////////////////////////////////
-void Bootstrap::unreachable(const std::string& address, core::Timestamp now)
+void Bootstrap::linkDown(const std::string& address, core::Timestamp now)
 {
-    m_reached.erase(address);
+    m_linksUp.erase(address);
     Failure& failure = m_failures[address];
-    failure.until = now + m_settings.retryAfter * (1U << std::min(failure.count, mostDoublings));
+    failure.retryAt = now + m_settings.retryAfter * (1U << std::min(failure.count, maxDoublings));
     ++failure.count;
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration Bootstrap::linkPatience(core::Timestamp since) const
+core::Duration Bootstrap::linkTimeout(core::Timestamp since) const
 {
     // Seeds may get power last. What was sent to them before is lost, so it is sent again soon; where all are far away
     // or slow, patience grows until links come up.
-    return std::max<core::Duration>(m_settings.linkPatience, (since - m_born) / patienceShare);
+    return std::max<core::Duration>(m_settings.linkTimeout, (since - m_startedAt) / linkTimeoutShare);
 }
 
 ////////////////////////////////////////////////////////////
-void Bootstrap::bytesCame(core::Timestamp now)
+void Bootstrap::updateProgressed(core::Timestamp now)
 {
-    m_bytesAt = now;
+    m_progressAt = now;
 }
 
 ////////////////////////////////////////////////////////////
-bool Bootstrap::relays() const
+bool Bootstrap::isRelay() const
 {
-    return m_relays;
+    return m_isRelay;
 }
 
 ////////////////////////////////////////////////////////////
-bool Bootstrap::reachable(const std::string& address, core::Timestamp now) const
+bool Bootstrap::mayTry(const std::string& address, core::Timestamp now) const
 {
     const auto failure = m_failures.find(address);
-    return failure == m_failures.end() || now >= failure->second.until;
+    return failure == m_failures.end() || now >= failure->second.retryAt;
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t Bootstrap::patienceCount(core::Timestamp since, core::Timestamp now) const
+std::size_t Bootstrap::followLimit(core::Timestamp since, core::Timestamp now) const
 {
-    const auto more = static_cast<std::size_t>((now - since) / m_settings.oneMore);
-    return std::min<std::size_t>(1 + more, m_settings.mostRelays);
+    const auto more = static_cast<std::size_t>((now - since) / m_settings.extraRelayAfter);
+    return std::min<std::size_t>(1 + more, m_settings.maxRelays);
 }
 
 ////////////////////////////////////////////////////////////
 std::vector<std::string> Bootstrap::seedsToFollow(core::Timestamp now) const
 {
     // Seeds tell each other of all who came, so that they name the same relays.
-    const std::size_t        most = m_isSeed ? m_seeds.size() : patienceCount(m_seedSince.value_or(m_born), now);
+    const std::size_t        most = m_isSeed ? m_seeds.size() : followLimit(m_seedLinkSince.value_or(m_startedAt), now);
     std::vector<std::string> seeds;
     const auto               add = [&](const std::string& seed, bool up)
     {
-        if (seeds.size() < most && up == (m_reached.count(seed) > 0) && reachable(seed, now))
+        if (seeds.size() < most && up == (m_linksUp.count(seed) > 0) && mayTry(seed, now))
             seeds.push_back(seed);
     };
     // Whoever has reached one does not go on to the next that is up by now: each of them would introduce all nodes.
@@ -145,16 +146,16 @@
 std::vector<std::string> Bootstrap::relaysToFollow(core::Timestamp now) const
 {
     std::vector<std::string> relays;
-    for (const NodeAddress& relay : m_named)
+    for (const NodeAddress& relay : m_relays)
     {
-        if (relays.size() < patienceCount(m_namedAt, now) && reachable(relay.address, now))
+        if (relays.size() < followLimit(m_relaysSince, now) && mayTry(relay.address, now))
             relays.push_back(relay.address);
     }
     return relays;
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<std::string> Bootstrap::upstreams(core::Timestamp now) const
+std::vector<std::string> Bootstrap::upstreamsToFollow(core::Timestamp now) const
 {
     std::vector<std::string> upstreams = seedsToFollow(now);
     for (std::string& relay : relaysToFollow(now))
@@ -166,47 +167,48 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Bootstrap::readsStore(core::Timestamp now) const
+bool Bootstrap::shouldReadStore(core::Timestamp now) const
 {
-    if (m_seeds.empty() || now >= m_born + m_settings.longest)
+    if (m_seeds.empty() || now >= m_startedAt + m_settings.maxStoreReadDelay)
         return true;
     // Nobody has a copy: so seeds and relays fetch it. They are few, so no crowd comes of it.
-    const auto patience = m_reached.empty() ? m_settings.seedPatience : m_settings.seedAnswer;
-    if (m_relays && (m_lacking || noOtherSeed() || now >= m_born + patience))
+    const auto seedWait = m_linksUp.empty() ? m_settings.seedConnectWait : m_settings.seedAnswerWait;
+    if (m_isRelay && (m_peerHasNoCopy || allSeedsFailed() || now >= m_startedAt + seedWait))
         return true;
-    const bool relayUp = std::any_of(m_named.begin(), m_named.end(),
-                                     [this](const NodeAddress& relay) { return m_reached.count(relay.address) > 0; });
-    const auto readAt = m_readAt + (relayUp ? m_settings.relayPatience : core::Duration{});
-    return now >= readAt && now - m_bytesAt > m_settings.aliveWithin;
+    const bool relayUp = std::any_of(m_relays.begin(), m_relays.end(),
+                                     [this](const NodeAddress& relay) { return m_linksUp.count(relay.address) > 0; });
+    const auto readAt = m_storeReadAt + (relayUp ? m_settings.relayUpExtension : core::Duration{});
+    return now >= readAt && now - m_progressAt > m_settings.progressWindow;
 }
 
 ////////////////////////////////////////////////////////////
-bool Bootstrap::readsEarly(core::Timestamp now) const
+bool Bootstrap::shouldReadEarly(core::Timestamp now) const
 {
-    return !m_triedEarly && m_reached.empty() && !m_isSeed && now >= m_born + m_settings.earlyAfter;
+    return !m_earlyReadStarted && m_linksUp.empty() && !m_isSeed && now >= m_startedAt + m_settings.earlyReadAfter;
 }
 
 ////////////////////////////////////////////////////////////
-core::Timestamp Bootstrap::earlyReading(core::Timestamp now)
+core::Timestamp Bootstrap::beginEarlyRead(core::Timestamp now)
 {
-    m_triedEarly = true;
-    return now + m_settings.earlyPatience;
+    m_earlyReadStarted = true;
+    return now + m_settings.earlyReadTimeout;
 }
 
 ////////////////////////////////////////////////////////////
 core::Timestamp Bootstrap::nextDue(core::Timestamp now) const
 {
-    core::Timestamp next = now + m_settings.oneMore;
-    for (const core::Timestamp at : {m_born + m_settings.earlyAfter, m_born + m_settings.seedPatience,
-                                     m_born + m_settings.seedAnswer, m_readAt, m_readAt + m_settings.relayPatience})
+    core::Timestamp next = now + m_settings.extraRelayAfter;
+    for (const core::Timestamp at :
+         {m_startedAt + m_settings.earlyReadAfter, m_startedAt + m_settings.seedConnectWait,
+          m_startedAt + m_settings.seedAnswerWait, m_storeReadAt, m_storeReadAt + m_settings.relayUpExtension})
     {
         if (now < at)
             next = std::min(next, at);
     }
     for (const auto& [address, failure] : m_failures)
     {
-        if (now < failure.until)
-            next = std::min(next, failure.until);
+        if (now < failure.retryAt)
+            next = std::min(next, failure.retryAt);
     }
     return next;
 }
--- a/src/sailpath/replication/BootstrapRelays.cpp
+++ b/src/sailpath/replication/BootstrapRelays.cpp
@@ -9,126 +9,127 @@
 {
 namespace
 {
-constexpr std::size_t   nodesPerRelay = 25; // 25 packed copies of 24 KB take 24 ms on 200 Mbit/s
-constexpr std::uint32_t capacityStep = 1;   // Nodes of half the strongest's capacity may be relays beside it
-constexpr std::size_t   fewWaiting = 8;     // Served by a seed of capacity 1 itself: 8 x 24 KB take 77 ms on 20 Mbit/s
-constexpr auto          gather = std::chrono::milliseconds{50};   // From the first of a crowd to the first names
-constexpr auto          ownPace = std::chrono::milliseconds{100}; // Between copies by a seed of capacity 0 in a crowd
-constexpr std::uint32_t mostCapacity = 6;                         // That makes a difference here
-constexpr auto          recently = std::chrono::seconds{1};       // Copies sent so lately may still be on their way
-constexpr auto          awaitStrong = std::chrono::milliseconds{150}; // From the first of a crowd; relays of a tenth of
-                                                                      // its capacity would be slower than the wait
-constexpr auto          between = std::chrono::milliseconds{10};      // Of one choice and the next
+constexpr std::size_t   nodesPerRelay = 25;  // 25 packed copies of 24 KB take 24 ms on 200 Mbit/s
+constexpr std::uint32_t maxCapacityGap = 1;  // Nodes of half the strongest's capacity may be relays beside it
+constexpr std::size_t   maxServedBySeed = 8; // Served by a seed of capacity 1 itself: 8 x 24 KB take 77 ms on 20 Mbit/s
+constexpr auto          gatherDelay = std::chrono::milliseconds{50}; // From the first of a crowd to the first names
+constexpr auto baseServeInterval = std::chrono::milliseconds{100}; // Between copies by a seed of capacity 0 in a crowd
+constexpr std::uint32_t maxCapacity = 6;                           // That makes a difference here
+constexpr auto          sentWindow = std::chrono::seconds{1};      // Copies sent so lately may still be on their way
+constexpr auto awaitStrongerFor = std::chrono::milliseconds{150};  // From the first of a crowd; relays of a tenth of
+                                                                   // its capacity would be slower than the wait
+constexpr auto refreshInterval = std::chrono::milliseconds{10};    // Of one choice and the next
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
 std::vector<NodeAddress> chooseRelays(std::span<const NodeAddress> nodes, std::string_view dataCentre,
-                                      std::span<const NodeAddress> named, std::uint32_t leastStrong)
+                                      std::span<const NodeAddress> current, std::uint32_t assumedCapacity)
 {
     struct Candidate
     {
         const NodeAddress* node;
-        bool               named;
+        bool               isCurrent;
         std::uint64_t      hash;
     };
-    const auto isNamed = [&](const NodeAddress& node)
+    const auto isCurrentRelay = [&](const NodeAddress& node)
     {
-        return std::any_of(named.begin(), named.end(),
-                           [&](const NodeAddress& one) { return one.address == node.address; });
+        return std::any_of(current.begin(), current.end(),
+                           [&](const NodeAddress& other) { return other.address == node.address; });
     };
-    std::vector<Candidate> near;
+    std::vector<Candidate> local;
     for (const NodeAddress& node : nodes)
     {
         if (node.dataCentre == dataCentre)
-            near.push_back({&node, isNamed(node), core::hash(node.address)});
+            local.push_back({&node, isCurrentRelay(node), core::hash(node.address)});
     }
-    std::uint32_t strongest = leastStrong;
+    std::uint32_t strongest = assumedCapacity;
     for (const NodeAddress& node : nodes)
         strongest = std::max(strongest, node.capacity);
-    const std::size_t wanted = (near.size() + nodesPerRelay - 1) / nodesPerRelay;
-    std::partial_sort(near.begin(), near.begin() + static_cast<std::ptrdiff_t>(wanted), near.end(),
+    const std::size_t relayCount = (local.size() + nodesPerRelay - 1) / nodesPerRelay;
+    std::partial_sort(local.begin(), local.begin() + static_cast<std::ptrdiff_t>(relayCount), local.end(),
                       [](const Candidate& left, const Candidate& right)
                       {
-                          return std::tuple(right.node->capacity, right.named, left.hash) <
-                                 std::tuple(left.node->capacity, left.named, right.hash);
+                          return std::tuple(right.node->capacity, right.isCurrent, left.hash) <
+                                 std::tuple(left.node->capacity, left.isCurrent, right.hash);
                       });
     std::vector<NodeAddress> relays;
-    for (std::size_t i = 0; i < wanted && near[i].node->capacity + capacityStep >= strongest; ++i)
-        relays.push_back(*near[i].node);
+    for (std::size_t i = 0; i < relayCount && local[i].node->capacity + maxCapacityGap >= strongest; ++i)
+        relays.push_back(*local[i].node);
     return relays;
 }
 
 ////////////////////////////////////////////////////////////
 BootstrapRelays::BootstrapRelays(std::uint32_t capacity) :
 m_capacity(capacity),
-m_few(fewWaiting << std::min(std::max(capacity, 1U) - 1, mostCapacity)),
-m_pace(core::Duration(ownPace) / (1U << std::min(capacity, mostCapacity)))
+m_maxServed(maxServedBySeed << std::min(std::max(capacity, 1U) - 1, maxCapacity)),
+m_serveInterval(core::Duration(baseServeInterval) / (1U << std::min(capacity, maxCapacity)))
 {
 }
 
 ////////////////////////////////////////////////////////////
-bool BootstrapRelays::mayServe(core::Timestamp now)
+bool BootstrapRelays::tryServe(core::Timestamp now)
 {
-    if (now < m_serveNext)
+    if (now < m_nextServeAt)
         return false;
-    m_serveNext = now + m_pace;
+    m_nextServeAt = now + m_serveInterval;
     return true;
 }
 
 ////////////////////////////////////////////////////////////
-void BootstrapRelays::waiting(std::size_t followers, core::Timestamp now)
+void BootstrapRelays::updateWaiting(std::size_t followers, core::Timestamp now)
 {
-    while (!m_servedAt.empty() && now - m_servedAt.front() > recently)
-        m_servedAt.pop_front();
-    const bool before = std::exchange(m_crowd, followers + m_servedAt.size() > m_few);
-    if (before == m_crowd)
+    while (!m_sentAt.empty() && now - m_sentAt.front() > sentWindow)
+        m_sentAt.pop_front();
+    const bool wasCrowded = std::exchange(m_isCrowded, followers + m_sentAt.size() > m_maxServed);
+    if (wasCrowded == m_isCrowded)
         return;
     m_relays.clear();
-    m_changes = 0;
-    m_crowdSince = now;
-    m_nextRefresh = now + gather;
+    m_lastChanges = 0;
+    m_crowdedSince = now;
+    m_nextRefreshAt = now + gatherDelay;
 }
 
 ////////////////////////////////////////////////////////////
-void BootstrapRelays::served(core::Timestamp now)
+void BootstrapRelays::copySent(core::Timestamp now)
 {
-    m_servedAt.push_back(now);
+    m_sentAt.push_back(now);
 }
 
 ////////////////////////////////////////////////////////////
-bool BootstrapRelays::crowd() const
+bool BootstrapRelays::isCrowded() const
 {
-    return m_crowd;
+    return m_isCrowded;
 }
 
 ////////////////////////////////////////////////////////////
-bool BootstrapRelays::wantsRefresh(std::uint64_t changes, core::Timestamp now) const
+bool BootstrapRelays::needsRefresh(std::uint64_t changes, core::Timestamp now) const
 {
-    return m_crowd && (changes != m_changes || m_lacks) && now >= m_nextRefresh;
+    return m_isCrowded && (changes != m_lastChanges || m_awaitsStronger) && now >= m_nextRefreshAt;
 }
 
 ////////////////////////////////////////////////////////////
 std::optional<core::Timestamp> BootstrapRelays::nextRefresh(std::uint64_t changes) const
 {
-    return m_crowd && (changes != m_changes || m_lacks) ? std::optional(m_nextRefresh) : std::nullopt;
+    return m_isCrowded && (changes != m_lastChanges || m_awaitsStronger) ? std::optional(m_nextRefreshAt)
+                                                                         : std::nullopt;
 }
 
 ////////////////////////////////////////////////////////////
 void BootstrapRelays::refresh(std::span<const NodeAddress> nodes, std::uint64_t changes, core::Timestamp now)
 {
-    m_changes = changes;
-    m_nextRefresh = now + between;
-    m_lacks = false;
+    m_lastChanges = changes;
+    m_nextRefreshAt = now + refreshInterval;
+    m_awaitsStronger = false;
     // Nodes as strong as the seed itself are likely to come yet.
-    const std::uint32_t leastStrong = now - m_crowdSince < awaitStrong ? m_capacity : 0;
+    const std::uint32_t assumedCapacity = now - m_crowdedSince < awaitStrongerFor ? m_capacity : 0;
     std::map<std::string, std::vector<NodeAddress>, std::less<>> chosen;
     for (const NodeAddress& node : nodes)
     {
         if (chosen.count(node.dataCentre) > 0)
             continue;
-        chosen[node.dataCentre] = chooseRelays(nodes, node.dataCentre, relaysOf(node.dataCentre), leastStrong);
-        m_lacks = m_lacks || (leastStrong > 0 && chosen[node.dataCentre].empty());
+        chosen[node.dataCentre] = chooseRelays(nodes, node.dataCentre, relaysOf(node.dataCentre), assumedCapacity);
+        m_awaitsStronger = m_awaitsStronger || (assumedCapacity > 0 && chosen[node.dataCentre].empty());
     }
     m_relays = std::move(chosen);
 }
@@ -145,31 +146,31 @@
 {
     const auto relays = relaysOf(node.dataCentre);
     return std::any_of(relays.begin(), relays.end(),
-                       [&](const NodeAddress& one) { return one.address == node.address; });
+                       [&](const NodeAddress& other) { return other.address == node.address; });
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<NodeAddress> BootstrapRelays::namesFor(const NodeAddress& node) const
+std::vector<NodeAddress> BootstrapRelays::relaysFor(const NodeAddress& node) const
 {
-    const auto               near = relaysOf(node.dataCentre);
-    std::vector<NodeAddress> names(near.begin(), near.end());
+    const auto               local = relaysOf(node.dataCentre);
+    std::vector<NodeAddress> chosen(local.begin(), local.end());
     // Where all are weak, or the strong ones are not there yet, strong ones elsewhere are quicker. Relays are told of
     // all, as they are to agree later on who of them watches the store.
-    if (!names.empty() && !isRelay(node))
-        return names;
+    if (!chosen.empty() && !isRelay(node))
+        return chosen;
     for (const auto& [dataCentre, relays] : m_relays)
     {
         if (dataCentre != node.dataCentre)
-            names.insert(names.end(), relays.begin(), relays.end());
+            chosen.insert(chosen.end(), relays.begin(), relays.end());
     }
-    return names;
+    return chosen;
 }
 
 ////////////////////////////////////////////////////////////
-std::uint64_t BootstrapRelays::hashFor(const NodeAddress& node) const
+std::uint64_t BootstrapRelays::relaysHashFor(const NodeAddress& node) const
 {
     std::uint64_t hash = 0;
-    for (const NodeAddress& relay : namesFor(node))
+    for (const NodeAddress& relay : relaysFor(node))
         hash = hash * 31 + core::hash(relay.address);
     return hash;
 }
--- a/src/sailpath/replication/ItemTable.cpp
+++ b/src/sailpath/replication/ItemTable.cpp
@@ -7,91 +7,91 @@
 {
 namespace
 {
-constexpr std::size_t mostRemovals = 512;     // Kept, so that peers hear of them
-constexpr std::size_t mostFormer = 4;         // Earlier values kept of a key
-constexpr std::size_t mostChangedKeys = 4096; // Kept, so that what changed late is told
-constexpr std::size_t mostRecent = 4096; // Keys kept in the order of their changes: seconds of a release everywhere
-constexpr std::size_t mostGaps = 16;     // Kept apart; older ones are taken for one
+constexpr std::size_t maxRemovals = 512;     // Kept, so that peers hear of them
+constexpr std::size_t maxPreviousValues = 4; // Earlier values kept of a key
+constexpr std::size_t maxChangedKeys = 4096; // Kept, so that what changed late is told
+constexpr std::size_t maxIndexed = 4096;     // Keys kept in the order of their changes: seconds of a release everywhere
+constexpr std::size_t maxGaps = 16;          // Kept apart; older ones are taken for one
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-void ItemTable::take(std::span<const Item> items, std::uint64_t at, std::vector<Item>& changed)
+void ItemTable::apply(std::span<const Item> items, std::uint64_t at, std::vector<Item>& changed)
 {
     // A newer word that overtook it may have left out what came and went meanwhile.
-    if (at < m_at)
+    if (at < m_revision)
         return;
     for (const Item& item : items)
-        put(item, changed);
-    advance(at);
+        applyItem(item, changed);
+    advanceTo(at);
 }
 
 ////////////////////////////////////////////////////////////
-void ItemTable::take(const Changes& changes, std::vector<Item>& changed)
+void ItemTable::apply(const PeerChanges& changes, std::vector<Item>& changed)
 {
     if (addsNothing(changes.at))
         return;
     if (changes.gapped)
-        noteGap(changes.after, changes.at);
+        recordGap(changes.after, changes.at);
     removeUnlisted(changes.items, changes.after, changes.at, changed);
-    take(changes.items, changes.at, changed);
+    apply(changes.items, changes.at, changed);
 }
 
 ////////////////////////////////////////////////////////////
-void ItemTable::takeSnapshot(std::span<const Item> items, std::uint64_t at, std::vector<Item>& changed)
+void ItemTable::applySnapshot(std::span<const Item> items, std::uint64_t at, std::vector<Item>& changed)
 {
     if (addsNothing(at))
         return;
-    takeAll(items, at, changed);
-    m_open = false;
+    applyAll(items, at, changed);
+    m_lastGapOpen = false;
 }
 
 ////////////////////////////////////////////////////////////
-void ItemTable::takeReading(std::span<const Item> items, std::uint64_t at, std::uint64_t upTo,
-                            std::vector<Item>& changed)
+void ItemTable::applyNonAtomicRead(std::span<const Item> items, std::uint64_t at, std::uint64_t upTo,
+                                   std::vector<Item>& changed)
 {
-    if (at <= m_at)
+    if (at <= m_revision)
         return;
-    takeAll(items, at, changed);
-    m_open = upTo > at;
-    m_openUpTo = upTo;
+    applyAll(items, at, changed);
+    m_lastGapOpen = upTo > at;
+    m_gapOpenUpTo = upTo;
 }
 
 ////////////////////////////////////////////////////////////
 bool ItemTable::addsNothing(std::uint64_t at) const
 {
-    return at < m_at || (at == m_at && at > 0 && !m_open);
+    return at < m_revision || (at == m_revision && at > 0 && !m_lastGapOpen);
 }
 
 ////////////////////////////////////////////////////////////
-void ItemTable::takeAll(std::span<const Item> items, std::uint64_t at, std::vector<Item>& changed)
+void ItemTable::applyAll(std::span<const Item> items, std::uint64_t at, std::vector<Item>& changed)
 {
-    noteGap(m_at, at);
+    recordGap(m_revision, at);
     removeUnlisted(items, 0, at, changed);
-    take(items, at, changed);
+    apply(items, at, changed);
 }
 
 ////////////////////////////////////////////////////////////
-void ItemTable::advance(std::uint64_t at)
+void ItemTable::advanceTo(std::uint64_t at)
 {
-    m_at = std::max(m_at, at);
-    if (m_open)
-        m_gaps.back().to = m_at;
-    m_open = m_open && m_at < m_openUpTo;
-    forgetRemovals();
+    m_revision = std::max(m_revision, at);
+    if (m_lastGapOpen)
+        m_gaps.back().to = m_revision;
+    m_lastGapOpen = m_lastGapOpen && m_revision < m_gapOpenUpTo;
+    pruneRemovals();
 }
 
 ////////////////////////////////////////////////////////////
-void ItemTable::noteGap(std::uint64_t from, std::uint64_t to)
+void ItemTable::recordGap(std::uint64_t from, std::uint64_t to)
 {
     // What another copy skipped began before this one's revision: removals that it inferred bear revisions from there
     // on, and a third copy that is as far as this one lacks them.
-    if (m_open)
+    if (m_lastGapOpen)
         m_gaps.back().from = std::min(m_gaps.back().from, from);
-    if (m_open || to <= m_at)
+    if (m_lastGapOpen || to <= m_revision)
         return;
-    m_gaps.push_back({std::min(from, m_at), to});
-    if (m_gaps.size() <= mostGaps)
+    m_gaps.push_back({std::min(from, m_revision), to});
+    if (m_gaps.size() <= maxGaps)
         return;
     // The two oldest become one, with what lies between.
     m_gaps[1].from = m_gaps[0].from;
@@ -99,22 +99,22 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::uint64_t ItemTable::tellAfter(std::uint64_t revision) const
+std::uint64_t ItemTable::resendAfter(std::uint64_t revision) const
 {
     std::uint64_t after = revision;
     for (auto gap = m_gaps.rbegin(); gap != m_gaps.rend(); ++gap)
     {
         const bool within = revision > gap->from && revision < gap->to;
-        if (within || (m_open && gap == m_gaps.rbegin() && revision >= gap->to))
+        if (within || (m_lastGapOpen && gap == m_gaps.rbegin() && revision >= gap->to))
             after = std::min(after, gap->from);
     }
-    return after < m_forgotten ? 0 : after;
+    return after < m_prunedUpTo ? 0 : after;
 }
 
 ////////////////////////////////////////////////////////////
-bool ItemTable::gapAfter(std::uint64_t revision) const
+bool ItemTable::hasGapAfter(std::uint64_t revision) const
 {
-    return m_open || (!m_gaps.empty() && m_gaps.back().to > revision);
+    return m_lastGapOpen || (!m_gaps.empty() && m_gaps.back().to > revision);
 }
 
 ////////////////////////////////////////////////////////////
@@ -129,35 +129,35 @@
             listed.insert(item.key);
     }
     std::vector<Item> removals;
-    forEachSince(after,
-                 [&](const Item& item)
-                 {
-                     if (!item.gone && item.revision < at && listed.find(item.key) == listed.end())
-                         removals.push_back({item.key, {}, at, true});
-                 });
+    forEachChangedAfter(after,
+                        [&](const Item& item)
+                        {
+                            if (!item.gone && item.revision < at && listed.find(item.key) == listed.end())
+                                removals.push_back({item.key, {}, at, true});
+                        });
     for (const Item& removal : removals)
-        put(removal, changed);
+        applyItem(removal, changed);
 }
 
 ////////////////////////////////////////////////////////////
-void ItemTable::put(const Item& item, std::vector<Item>& changed)
+void ItemTable::applyItem(const Item& item, std::vector<Item>& changed)
 {
     Item& known = m_items[item.key];
     if (known.revision >= item.revision)
         return;
-    noteRecent(known, item);
-    if (known.value.size() >= largeValue)
-        keepFormer(std::move(known));
+    indexChange(known, item);
+    if (known.value.size() >= largeValueSize)
+        keepPrevious(std::move(known));
     known = item;
     changed.push_back(item);
     ++m_sequence;
     m_changedKeys.push_back(item.key);
-    if (m_changedKeys.size() > mostChangedKeys)
+    if (m_changedKeys.size() > maxChangedKeys)
         m_changedKeys.pop_front();
 }
 
 ////////////////////////////////////////////////////////////
-void ItemTable::noteRecent(const Item& former, const Item& item)
+void ItemTable::indexChange(const Item& previous, const Item& item)
 {
     const auto erase = [&item](auto& keys, std::uint64_t revision)
     {
@@ -166,52 +166,52 @@
         if (found != end)
             keys.erase(found);
     };
-    erase(m_recent, former.revision);
-    if (former.gone)
-        erase(m_removals, former.revision);
+    erase(m_byRevision, previous.revision);
+    if (previous.gone)
+        erase(m_removals, previous.revision);
     if (item.gone)
         m_removals.emplace(item.revision, item.key);
-    m_recent.emplace(item.revision, item.key);
-    if (m_recent.size() <= mostRecent)
+    m_byRevision.emplace(item.revision, item.key);
+    if (m_byRevision.size() <= maxIndexed)
         return;
-    m_recentAfter = std::max(m_recentAfter, m_recent.begin()->first);
-    m_recent.erase(m_recent.begin());
+    m_indexedAfter = std::max(m_indexedAfter, m_byRevision.begin()->first);
+    m_byRevision.erase(m_byRevision.begin());
 }
 
 ////////////////////////////////////////////////////////////
 template <typename Visit>
-void ItemTable::forEachSince(std::uint64_t revision, Visit visit) const
+void ItemTable::forEachChangedAfter(std::uint64_t revision, Visit visit) const
 {
     // A follower is told of a handful of changes many times a second, whatever the number of items.
-    if (revision >= m_recentAfter)
+    if (revision >= m_indexedAfter)
     {
-        for (auto entry = m_recent.upper_bound(revision); entry != m_recent.end(); ++entry)
+        for (auto entry = m_byRevision.upper_bound(revision); entry != m_byRevision.end(); ++entry)
         {
-            ++m_looked;
+            ++m_examinedItems;
             visit(m_items.find(entry->second)->second);
         }
         return;
     }
     for (const auto& [key, item] : m_items)
     {
-        ++m_looked;
+        ++m_examinedItems;
         if (item.revision > revision)
             visit(item);
     }
 }
 
 ////////////////////////////////////////////////////////////
-std::uint64_t ItemTable::looked() const
+std::uint64_t ItemTable::examinedItems() const
 {
-    return m_looked;
+    return m_examinedItems;
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<Item> ItemTable::late(std::uint64_t sequence, std::uint64_t revision) const
+std::vector<Item> ItemTable::lateChanges(std::uint64_t sequence, std::uint64_t revision) const
 {
     std::set<std::string_view> keys;
-    const std::uint64_t        since = std::max(sequence, oldestSequence());
-    for (std::uint64_t change = since; change < m_sequence; ++change)
+    const std::uint64_t        changesAfter = std::max(sequence, oldestSequence());
+    for (std::uint64_t change = changesAfter; change < m_sequence; ++change)
         keys.insert(m_changedKeys[change - oldestSequence()]);
     std::vector<Item> items;
     for (const std::string_view key : keys)
@@ -236,53 +236,54 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ItemTable::keepFormer(Item item)
+void ItemTable::keepPrevious(Item item)
 {
-    auto& former = m_former[item.key];
-    former.push_front(std::move(item));
-    if (former.size() > mostFormer)
-        former.pop_back();
+    auto& previous = m_previousValues[item.key];
+    previous.push_front(std::move(item));
+    if (previous.size() > maxPreviousValues)
+        previous.pop_back();
 }
 
 ////////////////////////////////////////////////////////////
-const Item* ItemTable::asOf(std::string_view key, std::uint64_t at) const
+const Item* ItemTable::itemAsOf(std::string_view key, std::uint64_t at) const
 {
     const auto known = m_items.find(key);
     if (known == m_items.end())
         return nullptr;
     if (known->second.revision <= at)
         return &known->second;
-    const auto former = m_former.find(key);
-    if (former == m_former.end())
+    const auto previous = m_previousValues.find(key);
+    if (previous == m_previousValues.end())
         return nullptr;
-    const auto found = std::find_if(former->second.begin(), former->second.end(),
+    const auto found = std::find_if(previous->second.begin(), previous->second.end(),
                                     [at](const Item& item) { return item.revision <= at; });
-    return found == former->second.end() ? nullptr : &*found;
+    return found == previous->second.end() ? nullptr : &*found;
 }
 
 ////////////////////////////////////////////////////////////
-void ItemTable::forgetRemovals()
+void ItemTable::pruneRemovals()
 {
-    while (m_removals.size() > mostRemovals)
+    while (m_removals.size() > maxRemovals)
     {
         const auto oldest = m_removals.begin();
         const auto item = m_items.find(oldest->second);
-        m_forgotten = std::max(m_forgotten, oldest->first);
+        m_prunedUpTo = std::max(m_prunedUpTo, oldest->first);
         // Its key is not found in the order of changes any more.
-        const auto [begin, end] = m_recent.equal_range(oldest->first);
-        const auto recent = std::find_if(begin, end, [&](const auto& entry) { return entry.second == oldest->second; });
-        if (recent != end)
-            m_recent.erase(recent);
+        const auto [begin, end] = m_byRevision.equal_range(oldest->first);
+        const auto indexed =
+            std::find_if(begin, end, [&](const auto& entry) { return entry.second == oldest->second; });
+        if (indexed != end)
+            m_byRevision.erase(indexed);
         m_items.erase(item);
         m_removals.erase(oldest);
     }
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<Item> ItemTable::since(std::uint64_t revision) const
+std::vector<Item> ItemTable::changesAfter(std::uint64_t revision) const
 {
     std::vector<Item> items;
-    forEachSince(revision, [&items](const Item& item) { items.push_back(item); });
+    forEachChangedAfter(revision, [&items](const Item& item) { items.push_back(item); });
     return items;
 }
 
@@ -299,15 +300,15 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::uint64_t ItemTable::at() const
+std::uint64_t ItemTable::revision() const
 {
-    return m_at;
+    return m_revision;
 }
 
 ////////////////////////////////////////////////////////////
-bool ItemTable::exact() const
+bool ItemTable::isExact() const
 {
-    return !m_open;
+    return !m_lastGapOpen;
 }
 
 } // namespace sailpath::replication
--- a/src/sailpath/replication/Replica.cpp
+++ b/src/sailpath/replication/Replica.cpp
@@ -51,47 +51,47 @@
 ////////////////////////////////////////////////////////////
 void Replica::serverFailed(std::uint32_t server, core::Timestamp now)
 {
-    m_news.saw(server);
+    m_news.recordFailure(server);
     tick(now);
 }
 
 ////////////////////////////////////////////////////////////
 void Replica::serverEnded(const EndRecord& record, core::Timestamp at, core::Timestamp now)
 {
-    m_news.sawEnd(record, at);
+    m_news.recordEnd(record, at);
     tick(now);
 }
 
 ////////////////////////////////////////////////////////////
 void Replica::requestServed(const core::ContentHash& content, core::Timestamp now)
 {
-    m_news.sawServed(content);
+    m_news.recordServed(content);
     tick(now);
 }
 
 ////////////////////////////////////////////////////////////
 void Replica::serverLimited(const LimitRecord& record, core::Timestamp at, core::Timestamp now)
 {
-    m_news.limited(record, at);
+    m_news.recordLimit(record, at);
     tick(now);
 }
 
 ////////////////////////////////////////////////////////////
 std::vector<ServerReport> Replica::takeNews()
 {
-    return m_news.takeNews();
+    return m_news.takeReceived();
 }
 
 ////////////////////////////////////////////////////////////
 bool Replica::shouldWatch(core::Timestamp now) const
 {
     if (!known())
-        return m_first.readsStore(now);
+        return m_first.shouldReadStore(now);
     if (m_watchRole || (!m_followers.empty() && !fedSteadily(now)))
         return true;
     if (known() && !proved())
         return now >= m_proveAt;
-    if (!m_followers.empty() && !m_table.exact())
+    if (!m_followers.empty() && !m_table.isExact())
         return true;
     if (age(now) > m_settings.staleAfter && now - m_born > m_settings.bootWait)
         return true;
@@ -105,7 +105,7 @@
     giveUpEarlyReading(now);
     if (m_store != StoreState::Idle || now < m_nextStore)
         return;
-    if (!known() && m_first.readsEarly(now))
+    if (!known() && m_first.shouldReadEarly(now))
         return readEarly(now);
     if (!shouldWatch(now))
         return;
@@ -122,9 +122,9 @@
 void Replica::readEarly(core::Timestamp now)
 {
     m_store = StoreState::Reading;
-    m_earlyUntil = m_first.earlyReading(now);
+    m_earlyUntil = m_first.beginEarlyRead(now);
     // An old reading will do, as relays tell what is new since.
-    m_actions.push_back(ReadStore{Reading::MayBeOld});
+    m_actions.push_back(ReadStore{ReadMode::MayBeStale});
 }
 
 ////////////////////////////////////////////////////////////
@@ -142,10 +142,10 @@
 {
     m_store = StoreState::Watching;
     // A picture that is old already is proved at once; a watch proves it at its end only.
-    const bool prove = age(now) > m_settings.staleAfter / 4 || !m_table.exact();
+    const bool prove = age(now) > m_settings.staleAfter / 4 || !m_table.isExact();
     m_watchedAt = now;
     m_watchedFor = prove ? core::Duration(atOnce) : m_settings.watchWait;
-    m_actions.push_back(WatchStore{m_table.at(), m_watchedFor});
+    m_actions.push_back(WatchStore{m_table.revision(), m_watchedFor});
 }
 
 ////////////////////////////////////////////////////////////
@@ -169,13 +169,13 @@
     const bool first = !known();
     if (asOf)
     {
-        m_table.takeSnapshot(items, at, m_changes);
+        m_table.applySnapshot(items, at, m_changes);
         noteFresh(*asOf, now);
     }
     else
-        m_table.takeReading(items, at, upTo, m_changes);
+        m_table.applyNonAtomicRead(items, at, upTo, m_changes);
     // Relays have had the time that the reading took, too; who is one itself has nobody to wait for.
-    const bool alone = m_first.relays() || m_relaysLacking >= m_settings.upstreams;
+    const bool alone = m_first.isRelay() || m_relaysLacking >= m_settings.upstreams;
     if (!proved())
         m_proveAt = alone ? now : std::max(now, m_born + m_settings.proofWait);
     if (first && known())
@@ -193,7 +193,7 @@
     std::uint64_t told = 0;
     for (const Item& item : items)
         told = std::max(told, item.revision);
-    if (items.empty() && at > m_table.at())
+    if (items.empty() && at > m_table.revision())
     {
         // Something changed that was not told: only a reading shows it.
         m_actions.push_back(Note{"change-not-told", "", static_cast<double>(at)});
@@ -202,11 +202,11 @@
         return tick(now);
     }
     if (!items.empty())
-        m_table.take(items, std::min(told, at), m_changes);
+        m_table.apply(items, std::min(told, at), m_changes);
     // The store waited for all of the time asked for, or answered some time since.
     const core::Timestamp given = items.empty() ? m_watchedAt + m_watchedFor : m_watchedAt;
     noteFresh(std::min(given, now), now);
-    m_needRead = m_needRead || (items.empty() && !m_followers.empty() && !m_table.exact());
+    m_needRead = m_needRead || (items.empty() && !m_followers.empty() && !m_table.isExact());
     if (!items.empty() && age(now) <= m_settings.staleAfter / 2)
         m_nextStore = now + m_settings.watchPause;
     tick(now);
@@ -250,16 +250,16 @@
     found->second.open = true;
     if (!known())
     {
-        const std::vector<std::string> wanted = m_first.upstreams(now);
+        const std::vector<std::string> wanted = m_first.upstreamsToFollow(now);
         if (std::find(wanted.begin(), wanted.end(), found->second.address) == wanted.end())
             return dropUpstream(link); // Another seed was quicker; each that is greeted introduces all nodes.
-        m_first.reached(found->second.address, now);
+        m_first.linkUp(found->second.address, now);
     }
     found->second.heard = now;
     found->second.helloAt = now;
-    found->second.newsTold = m_news.end();
+    found->second.newsTold = m_news.reportCount();
     const bool whole = m_wholeFrom.erase(found->second.address) > 0;
-    m_actions.push_back(SendHello{link, {m_settings.self, whole ? 0 : m_table.at(), true}});
+    m_actions.push_back(SendHello{link, {m_settings.self, whole ? 0 : m_table.revision(), true}});
 }
 
 ////////////////////////////////////////////////////////////
@@ -269,7 +269,7 @@
     if (found == m_upstreams.end())
         return;
     found->second.heard = now;
-    m_first.bytesCame(now);
+    m_first.updateProgressed(now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -283,7 +283,7 @@
         if (known())
             avoid(address, now, "relay-lost");
         else
-            m_first.unreachable(address, now);
+            m_first.linkDown(address, now);
         noteLacking(now);
     }
     m_followers.erase(link);
@@ -294,7 +294,7 @@
 void Replica::noteLacking(core::Timestamp now)
 {
     // As many relays as a node follows could not prove its first reading: all nodes may have just started.
-    m_first.lacking();
+    m_first.peerHasNoCopy();
     ++m_relaysLacking;
     if (known() && !proved() && m_relaysLacking >= m_settings.upstreams)
         m_proveAt = std::min(m_proveAt, now);
@@ -330,7 +330,7 @@
         next = std::min(next, m_first.nextDue(m_now));
     if (m_earlyUntil)
         next = std::min(next, *m_earlyUntil);
-    if (const auto urgent = m_news.nextUrgent())
+    if (const auto urgent = m_news.nextReportDue())
         next = std::min(next, *urgent);
     next = std::min(next, newsDue());
     if (const auto refresh = m_introductions.nextRefresh(m_nodeChanges))
@@ -345,7 +345,7 @@
 {
     const auto relay = std::find_if(m_upstreams.begin(), m_upstreams.end(),
                                     [](const auto& item) { return item.second.open && item.second.fed; });
-    const bool waiting = relay != m_upstreams.end() && m_news.soonSince(relay->second.newsTold);
+    const bool waiting = relay != m_upstreams.end() && m_news.hasLimitsSince(relay->second.newsTold);
     return waiting ? m_newsSoon : m_now + longestRest;
 }
 
@@ -384,7 +384,7 @@
 ////////////////////////////////////////////////////////////
 bool Replica::known() const
 {
-    return m_table.at() > 0;
+    return m_table.revision() > 0;
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/replication/ReplicaRelays.cpp
+++ b/src/sailpath/replication/ReplicaRelays.cpp
@@ -44,7 +44,7 @@
     };
     std::vector<Candidate> candidates;
     // Before peers have told of others, only seeds and who was named count as relays, or every node would be one.
-    const bool             introduced = m_first.relays() || heardRelay();
+    const bool             introduced = m_first.isRelay() || heardRelay();
     if (now - m_born > m_settings.bootWait || m_settings.seeds.empty() || introduced)
         candidates.push_back({m_settings.self.capacity,
                               core::hash(m_settings.self.address),
@@ -82,7 +82,7 @@
 {
     if (!known())
     {
-        m_wanted = m_first.upstreams(now);
+        m_wanted = m_first.upstreamsToFollow(now);
         return;
     }
     if (now < m_rankAt)
@@ -131,7 +131,7 @@
 {
     if (upstream.open)
         return m_settings.linkSilence;
-    return heardRelay() ? m_settings.connectPatience : m_first.linkPatience(upstream.since);
+    return heardRelay() ? m_settings.connectPatience : m_first.linkTimeout(upstream.since);
 }
 
 ////////////////////////////////////////////////////////////
@@ -152,7 +152,7 @@
         if (known())
             avoid(address, now, "relay-silent");
         else
-            m_first.unreachable(address, now);
+            m_first.linkDown(address, now);
     }
     rank(now);
     const std::vector<std::string>& relays = m_wanted;
--- a/src/sailpath/replication/ReplicaStart.cpp
+++ b/src/sailpath/replication/ReplicaStart.cpp
@@ -19,7 +19,7 @@
     for (const auto& [link, upstream] : m_upstreams)
     {
         if (upstream.open && !upstream.fed)
-            m_actions.push_back(SendHello{link, {m_settings.self, m_table.at(), true}});
+            m_actions.push_back(SendHello{link, {m_settings.self, m_table.revision(), true}});
     }
     m_rankAt = {};
 }
@@ -32,8 +32,8 @@
     const auto waiting =
         std::count_if(m_followers.begin(), m_followers.end(),
                       [this](const auto& item) { return item.second.wantsAll && !isSeed(item.second.node.address); });
-    m_introductions.waiting(static_cast<std::size_t>(waiting), now);
-    if (m_introductions.wantsRefresh(m_nodeChanges, now))
+    m_introductions.updateWaiting(static_cast<std::size_t>(waiting), now);
+    if (m_introductions.needsRefresh(m_nodeChanges, now))
     {
         std::vector<NodeAddress> others = nodeList(now);
         // Seeds have their hands full.
@@ -47,7 +47,7 @@
 {
     if (!isSeed(m_settings.self.address))
         return follower.namesTold;
-    return isSeed(follower.node.address) ? m_nodeChanges : m_introductions.hashFor(follower.node);
+    return isSeed(follower.node.address) ? m_nodeChanges : m_introductions.relaysHashFor(follower.node);
 }
 
 ////////////////////////////////////////////////////////////
@@ -57,15 +57,15 @@
         return;
     follower.namesTold = namesHash(follower);
     // Seeds tell each other of all, so that they name the same.
-    update.nodes = isSeed(follower.node.address) ? nodeList(now) : m_introductions.namesFor(follower.node);
+    update.nodes = isSeed(follower.node.address) ? nodeList(now) : m_introductions.relaysFor(follower.node);
 }
 
 ////////////////////////////////////////////////////////////
 bool Replica::refers(const Follower& follower, core::Timestamp now)
 {
-    if (!follower.wantsAll || !m_introductions.crowd())
+    if (!follower.wantsAll || !m_introductions.isCrowded())
         return false;
-    if (now - follower.since >= referFor && mayTell() && m_introductions.mayServe(now))
+    if (now - follower.since >= referFor && mayTell() && m_introductions.tryServe(now))
         return false;
     // A seed has its hands full with introductions, and with relays: these come first.
     return !isSeed(follower.node.address) && !m_introductions.isRelay(follower.node);
--- a/src/sailpath/replication/ReplicaUpdates.cpp
+++ b/src/sailpath/replication/ReplicaUpdates.cpp
@@ -41,10 +41,10 @@
     follower.node = hello.self;
     follower.sentAt = hello.at;
     follower.sentSequence = m_table.sequence();
-    follower.wantsAll = hello.at == 0 || hello.at > m_table.at();
+    follower.wantsAll = hello.at == 0 || hello.at > m_table.revision();
     follower.packs = hello.packs;
     follower.since = now;
-    follower.newsTold = m_news.end();
+    follower.newsTold = m_news.reportCount();
     m_followers[link] = follower;
     tick(now);
 }
@@ -57,7 +57,7 @@
         return;
     for (const NodeAddress& node : update.nodes)
         hear(node, now);
-    m_news.heard(update.news, {link, true}, now);
+    m_news.receive(update.news, {link, true}, now);
     upstream->second.heard = now;
     const core::Duration way = wayOf(update, upstream->second, now);
     // Who hears others of late only knows as little of them as who hears nobody.
@@ -69,14 +69,14 @@
     if (update.at == 0)
     {
         if (!known() && isSeed(upstream->second.address))
-            m_first.named(update.nodes, now);
+            m_first.setRelays(update.nodes, now);
         if (!known() && update.illAgeMs < illLately)
-            m_first.storeIll(now, m_random);
+            m_first.peerStoreFailed(now, m_random);
         noteLacking(now);
         return tick(now);
     }
     auto large = unpackLarge(update);
-    if (update.after > m_table.at() || !large)
+    if (update.after > m_table.revision() || !large)
     {
         // What came between, or the value that a large one differs from, is not known here: begin anew.
         if (!large)
@@ -88,7 +88,8 @@
     upstream->second.fed = true;
     large->insert(large->end(), update.items.begin(), update.items.end());
     const bool first = !known();
-    takeUpdate(upstream->second.address, update, update.whole ? std::span<const Item>(*update.whole) : *large);
+    takeUpdate(upstream->second.address, update,
+               update.sharedItems ? std::span<const Item>(*update.sharedItems) : *large);
     if (first && known())
         firstCopyTaken();
     const core::Duration old = core::Duration(std::chrono::milliseconds{update.ageMs}) + way;
@@ -158,15 +159,15 @@
     // One relay is enough: it tells its own, and what the first of them hears comes back to all.
     const auto relay = std::find_if(m_upstreams.begin(), m_upstreams.end(),
                                     [](const auto& item) { return item.second.open && item.second.fed; });
-    if (relay == m_upstreams.end() || relay->second.newsTold == m_news.end())
+    if (relay == m_upstreams.end() || relay->second.newsTold == m_news.reportCount())
         return;
-    const bool waits = now < m_nextNews && !m_news.urgentSince(relay->second.newsTold);
-    if (waits && (now < m_newsSoon || !m_news.soonSince(relay->second.newsTold)))
+    const bool waits = now < m_nextNews && !m_news.hasUrgentSince(relay->second.newsTold);
+    if (waits && (now < m_newsSoon || !m_news.hasLimitsSince(relay->second.newsTold)))
         return;
-    m_newsSoon = now + ServerGossip::gather;
+    m_newsSoon = now + ServerGossip::batchDelay;
     m_nextNews = now + m_settings.beat;
-    auto reports = m_news.forRelay(relay->second.newsTold);
-    relay->second.newsTold = m_news.end();
+    auto reports = m_news.reportsForRelay(relay->second.newsTold);
+    relay->second.newsTold = m_news.reportCount();
     if (!reports.empty())
         m_actions.push_back(SendReport{relay->first, {{}, std::move(reports)}});
 }
@@ -174,7 +175,7 @@
 ////////////////////////////////////////////////////////////
 void Replica::reportReceived(LinkId link, const Report& report, core::Timestamp now)
 {
-    m_news.heard(report.news, {link, false}, now);
+    m_news.receive(report.news, {link, false}, now);
     for (const NodeAddress& node : report.nodes)
         hear(node, now);
     tick(now);
@@ -184,12 +185,12 @@
 void Replica::packLarge(Update& update, std::uint64_t sentAt)
 {
     const auto        small = std::stable_partition(update.items.begin(), update.items.end(),
-                                                    [](const Item& item) { return item.value.size() < largeValue; });
+                                                    [](const Item& item) { return item.value.size() < largeValueSize; });
     std::vector<Item> whole;
     for (auto item = small; item != update.items.end(); ++item)
     {
-        const Item* const base = m_table.asOf(item->key, sentAt);
-        if (base != nullptr && base->revision < item->revision && base->value.size() >= largeValue)
+        const Item* const base = m_table.itemAsOf(item->key, sentAt);
+        if (base != nullptr && base->revision < item->revision && base->value.size() >= largeValueSize)
             update.packed.push_back(packed(*item, *base));
         else
             whole.push_back(std::move(*item));
@@ -220,13 +221,13 @@
     std::vector<Item> items;
     for (const PackedItem& large : update.packed)
     {
-        const Item* const newest = m_table.asOf(large.key, std::numeric_limits<std::uint64_t>::max());
+        const Item* const newest = m_table.itemAsOf(large.key, std::numeric_limits<std::uint64_t>::max());
         if (newest != nullptr && newest->revision >= large.revision)
         {
             items.push_back(*newest);
             continue;
         }
-        const Item* const base = m_table.asOf(large.key, large.base);
+        const Item* const base = m_table.itemAsOf(large.key, large.base);
         if (base == nullptr || base->revision != large.base)
             return std::nullopt;
         auto value = unpackValue(large.packed, base->value);
@@ -242,10 +243,10 @@
 {
     // Nodes of former versions do not say after which revision they tell.
     if (!update.full && update.after == 0)
-        return m_table.take(items, update.at, m_changes);
+        return m_table.apply(items, update.at, m_changes);
     if (!update.full)
-        return m_table.take({update.after, update.at, update.gapped, items}, m_changes);
-    m_table.takeSnapshot(items, update.at, m_changes);
+        return m_table.apply({update.after, update.at, update.gapped, items}, m_changes);
+    m_table.applySnapshot(items, update.at, m_changes);
     m_needRead = false;
     m_actions.push_back(Note{"whole-copy-from-relay", relay, static_cast<double>(update.at)});
 }
@@ -262,12 +263,12 @@
             known->second.heard = now;
         // News are told at once, and so is that the copy was proved anew: it grows old again at each hop.
         const bool fresher = m_asOf > follower.fedAsOf + worthTelling;
-        const bool news = m_table.at() > follower.sentAt || m_table.sequence() != follower.sentSequence;
+        const bool news = m_table.revision() > follower.sentAt || m_table.sequence() != follower.sentSequence;
         const bool tells = mayTell() && !refers(follower, now);
-        if (m_news.urgentSince(follower.newsTold))
+        if (m_news.hasUrgentSince(follower.newsTold))
             follower.nextBeat = std::min(follower.nextBeat, follower.fedAt + m_settings.gather);
-        else if (m_news.soonSince(follower.newsTold))
-            follower.nextBeat = std::min<core::Timestamp>(follower.nextBeat, follower.fedAt + ServerGossip::gather);
+        else if (m_news.hasLimitsSince(follower.newsTold))
+            follower.nextBeat = std::min<core::Timestamp>(follower.nextBeat, follower.fedAt + ServerGossip::batchDelay);
         if (tells && follower.wantsAll)
             follower.nextBeat = now;
         else if (tells && (news || fresher))
@@ -287,21 +288,21 @@
 void Replica::feed(LinkId link, Follower& follower, bool tells, core::Timestamp now)
 {
     Update update;
-    update.at = tells ? m_table.at() : 0;
+    update.at = tells ? m_table.revision() : 0;
     update.ageMs = ageMs(m_asOf, now);
     update.illAgeMs = ageMs(m_ill, now);
     update.sentMs = static_cast<std::uint64_t>(core::toMilliseconds(now.time_since_epoch()));
     if (update.at > 0 && follower.wantsAll)
-        m_introductions.served(now);
+        m_introductions.copySent(now);
     if (update.at > 0)
         tellItems(update, follower);
     if (update.at == 0 && follower.wantsAll)
         nameRelays(update, follower, now);
     else
         tellNodes(update, follower, now);
-    update.news = m_news.forFollower(follower.newsTold, link);
+    update.news = m_news.reportsForFollower(follower.newsTold, link);
     tellLimits(update, follower, now);
-    follower.newsTold = m_news.end();
+    follower.newsTold = m_news.reportCount();
     follower.fedAt = now;
     follower.fedAsOf = m_asOf;
     follower.nextBeat = now + m_settings.beat;
@@ -315,7 +316,7 @@
     if (follower.limitsTold || update.at == 0)
         return;
     follower.limitsTold = true;
-    if (auto report = m_news.limitsInForce(now))
+    if (auto report = m_news.currentLimits(now))
         update.news.push_back(std::move(*report));
 }
 
@@ -323,16 +324,16 @@
 void Replica::tellItems(Update& update, Follower& follower)
 {
     const bool lost = follower.sentSequence < m_table.oldestSequence();
-    update.after = follower.wantsAll || lost ? 0 : m_table.tellAfter(follower.sentAt);
+    update.after = follower.wantsAll || lost ? 0 : m_table.resendAfter(follower.sentAt);
     update.full = update.after == 0;
-    update.gapped = m_table.gapAfter(update.after);
+    update.gapped = m_table.hasGapAfter(update.after);
     if (update.full && follower.packs)
-        update.whole = wholeCopy();
+        update.sharedItems = wholeCopy();
     else
-        update.items = update.full ? m_table.all() : m_table.since(update.after);
+        update.items = update.full ? m_table.all() : m_table.changesAfter(update.after);
     if (!update.full)
     {
-        const auto late = m_table.late(follower.sentSequence, update.after);
+        const auto late = m_table.lateChanges(follower.sentSequence, update.after);
         update.items.insert(update.items.end(), late.begin(), late.end());
         packLarge(update, follower.sentAt);
     }
@@ -369,7 +370,7 @@
 ////////////////////////////////////////////////////////////
 bool Replica::mayTell() const
 {
-    return proved() && m_table.exact();
+    return proved() && m_table.isExact();
 }
 
 } // namespace sailpath::replication
--- a/src/sailpath/replication/ServerGossip.cpp
+++ b/src/sailpath/replication/ServerGossip.cpp
@@ -8,17 +8,19 @@
 {
 namespace
 {
-constexpr auto span = std::chrono::milliseconds{350};      // Between own reports; updates travel as often
-constexpr auto urgentSpan = std::chrono::milliseconds{20}; // Between own reports that are urgent: what one end brings
-constexpr std::size_t mostEnds = 32;                       // In a report; who sees more end has a bad link or lies
-constexpr auto        life = std::chrono::seconds{3};      // Of a report on its way
-constexpr std::size_t mostLimits = 64;   // In a report, and waiting for one; servers of several services in need
-constexpr std::size_t mostWords = 1024;  // Limited servers and workspaces with quotas, kept for nodes that start
-constexpr std::size_t mostServers = 16;  // In a report; who sees more fail has a bad link itself
-constexpr std::size_t mostEntries = 512; // Kept; a third of a second of 473 nodes that all see failures
-constexpr auto wordLife = std::chrono::seconds{30}; // Of what a limited server said; while it is used it says it again
-constexpr std::size_t   mostOrigins = 4096;         // Remembered
-constexpr std::uint32_t farApart = 60'000;          // Numbers, ms: the node's clock began anew
+constexpr auto reportInterval = std::chrono::milliseconds{350}; // Between own reports; updates travel as often
+constexpr auto urgentInterval =
+    std::chrono::milliseconds{20};  // Between own reports that are urgent: what one end brings
+constexpr std::size_t maxEnds = 32; // In a report; who sees more end has a bad link or lies
+constexpr auto        reportLifetime = std::chrono::seconds{3}; // Of a report on its way
+constexpr std::size_t maxLimits = 64;        // In a report, and waiting for one; servers of several services in need
+constexpr std::size_t maxKnownLimits = 1024; // Limited servers and workspaces with quotas, kept for nodes that start
+constexpr std::size_t maxServers = 16;       // In a report; who sees more fail has a bad link itself
+constexpr std::size_t maxEntries = 512;      // Kept; a third of a second of 473 nodes that all see failures
+constexpr auto        knownLimitLifetime =
+    std::chrono::seconds{30};                  // Of what a limited server said; while it is used it says it again
+constexpr std::size_t   maxOrigins = 4096;     // Remembered
+constexpr std::uint32_t maxNumberLag = 60'000; // Numbers, ms: the node's clock began anew
 
 } // namespace
 
@@ -29,34 +31,34 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServerGossip::saw(std::uint32_t server)
+void ServerGossip::recordFailure(std::uint32_t server)
 {
-    auto& servers = m_seen.servers;
-    if (servers.size() < mostServers && std::find(servers.begin(), servers.end(), server) == servers.end())
+    auto& servers = m_pending.servers;
+    if (servers.size() < maxServers && std::find(servers.begin(), servers.end(), server) == servers.end())
         servers.push_back(server);
 }
 
 ////////////////////////////////////////////////////////////
-void ServerGossip::sawEnd(const EndRecord& record, core::Timestamp at)
+void ServerGossip::recordEnd(const EndRecord& record, core::Timestamp at)
 {
-    if (m_seen.ends.size() < mostEnds)
-        m_seen.ends.emplace_back(record, at);
+    if (m_pending.ends.size() < maxEnds)
+        m_pending.ends.emplace_back(record, at);
 }
 
 ////////////////////////////////////////////////////////////
-void ServerGossip::sawServed(const core::ContentHash& content)
+void ServerGossip::recordServed(const core::ContentHash& content)
 {
-    if (m_seen.served.size() < mostEnds)
-        m_seen.served.push_back(content);
+    if (m_pending.served.size() < maxEnds)
+        m_pending.served.push_back(content);
 }
 
 ////////////////////////////////////////////////////////////
-void ServerGossip::limited(const LimitRecord& record, core::Timestamp at)
+void ServerGossip::recordLimit(const LimitRecord& record, core::Timestamp at)
 {
-    auto&      limits = m_seen.limits;
+    auto&      limits = m_pending.limits;
     const auto known = std::find_if(limits.begin(), limits.end(),
                                     [&](const auto& item) { return item.first.server == record.server; });
-    if (known == limits.end() && limits.size() < mostLimits)
+    if (known == limits.end() && limits.size() < maxLimits)
         limits.emplace_back(record, at);
     else if (known != limits.end())
     {
@@ -67,174 +69,174 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServerGossip::heard(std::span<const ServerReport> reports, NewsSource source, core::Timestamp now)
+void ServerGossip::receive(std::span<const ServerReport> reports, ReportSource source, core::Timestamp now)
 {
     for (const ServerReport& report : reports)
     {
-        const auto last = m_lastOf.find(report.origin);
-        const bool old =
-            last != m_lastOf.end() && report.number <= last->second && last->second - report.number < farApart;
-        const bool tooMuch = report.servers.size() > mostServers || report.ends.size() > mostEnds ||
-                             report.served.size() > mostEnds || report.limits.size() > mostLimits;
-        if (report.origin == m_self || old || tooMuch)
+        const auto last = m_lastNumbers.find(report.origin);
+        const bool outdated =
+            last != m_lastNumbers.end() && report.number <= last->second && last->second - report.number < maxNumberLag;
+        const bool oversized = report.servers.size() > maxServers || report.ends.size() > maxEnds ||
+                               report.served.size() > maxEnds || report.limits.size() > maxLimits;
+        if (report.origin == m_self || outdated || oversized)
             continue;
-        m_news.push_back(report);
-        add(report, source, now);
+        m_received.push_back(report);
+        append(report, source, now);
     }
 }
 
 ////////////////////////////////////////////////////////////
 void ServerGossip::tick(core::Timestamp now)
 {
-    while (!m_entries.empty() && (now - m_entries.front().at > life || m_entries.size() > mostEntries))
+    while (!m_entries.empty() && (now - m_entries.front().at > reportLifetime || m_entries.size() > maxEntries))
     {
         m_entries.pop_front();
-        ++m_begin;
+        ++m_dropped;
     }
-    if (!due(now))
+    if (!isReportDue(now))
         return;
-    m_nextReport = now + span;
-    m_nextUrgent = now + urgentSpan;
-    m_nextSoon = now + gather;
+    m_nextRegularAt = now + reportInterval;
+    m_nextUrgentAt = now + urgentInterval;
+    m_nextLimitsAt = now + batchDelay;
     const auto   number = std::chrono::duration_cast<std::chrono::milliseconds>(now.time_since_epoch()).count();
-    Seen         seen = std::exchange(m_seen, {});
+    Pending      pending = std::exchange(m_pending, {});
     ServerReport report{
-        m_self, static_cast<std::uint32_t>(number), std::move(seen.servers), {}, std::move(seen.served)};
-    for (auto& [record, at] : seen.ends)
+        m_self, static_cast<std::uint32_t>(number), std::move(pending.servers), {}, std::move(pending.served)};
+    for (auto& [record, at] : pending.ends)
     {
         record.agoMs = static_cast<std::uint32_t>(std::max(0.0, core::toMilliseconds(now - at)));
         report.ends.push_back(record);
     }
-    for (auto& [record, at] : seen.limits)
+    for (auto& [record, at] : pending.limits)
     {
         record.agoMs = static_cast<std::uint32_t>(std::max(0.0, core::toMilliseconds(now - at)));
         report.limits.push_back(record);
     }
-    add(std::move(report), {}, now);
+    append(std::move(report), {}, now);
 }
 
 ////////////////////////////////////////////////////////////
-bool ServerGossip::due(core::Timestamp now) const
+bool ServerGossip::isReportDue(core::Timestamp now) const
 {
-    const auto urgent = nextUrgent();
-    return (urgent && now >= *urgent) || (!m_seen.servers.empty() && now >= m_nextReport);
+    const auto isUrgent = nextReportDue();
+    return (isUrgent && now >= *isUrgent) || (!m_pending.servers.empty() && now >= m_nextRegularAt);
 }
 
 ////////////////////////////////////////////////////////////
-std::optional<core::Timestamp> ServerGossip::nextUrgent() const
+std::optional<core::Timestamp> ServerGossip::nextReportDue() const
 {
-    const bool pressed =
-        std::any_of(m_seen.limits.begin(), m_seen.limits.end(), [](const auto& item) { return item.first.pressed(); });
-    if (!m_seen.ends.empty() || !m_seen.served.empty() || pressed)
-        return m_nextUrgent;
-    return m_seen.limits.empty() ? std::nullopt : std::optional(m_nextSoon);
+    const bool nearLimit = std::any_of(m_pending.limits.begin(), m_pending.limits.end(),
+                                       [](const auto& item) { return item.first.isNearLimit(); });
+    if (!m_pending.ends.empty() || !m_pending.served.empty() || nearLimit)
+        return m_nextUrgentAt;
+    return m_pending.limits.empty() ? std::nullopt : std::optional(m_nextLimitsAt);
 }
 
 ////////////////////////////////////////////////////////////
-bool ServerGossip::urgentSince(std::uint64_t count) const
+bool ServerGossip::hasUrgentSince(std::uint64_t count) const
 {
-    for (std::uint64_t i = std::max(count, m_begin); i < end(); ++i)
+    for (std::uint64_t i = std::max(count, m_dropped); i < reportCount(); ++i)
     {
-        if (m_entries[i - m_begin].report.urgent())
+        if (m_entries[i - m_dropped].report.isUrgent())
             return true;
     }
     return false;
 }
 
 ////////////////////////////////////////////////////////////
-bool ServerGossip::soonSince(std::uint64_t count) const
+bool ServerGossip::hasLimitsSince(std::uint64_t count) const
 {
-    for (std::uint64_t i = std::max(count, m_begin); i < end(); ++i)
+    for (std::uint64_t i = std::max(count, m_dropped); i < reportCount(); ++i)
     {
-        if (m_entries[i - m_begin].report.soon())
+        if (m_entries[i - m_dropped].report.hasLimits())
             return true;
     }
     return false;
 }
 
 ////////////////////////////////////////////////////////////
-void ServerGossip::keep(const ServerReport& report, core::Timestamp now)
+void ServerGossip::rememberLimits(const ServerReport& report, core::Timestamp now)
 {
-    std::erase_if(m_words, [now](const auto& item) { return now - item.second.at > wordLife; });
+    std::erase_if(m_knownLimits, [now](const auto& item) { return now - item.second.at > knownLimitLifetime; });
     for (const LimitRecord& record : report.limits)
     {
         const core::Timestamp at = now - std::chrono::milliseconds{record.agoMs};
-        const auto            known = m_words.find(record.server);
-        if (known != m_words.end() && at < known->second.at)
+        const auto            known = m_knownLimits.find(record.server);
+        if (known != m_knownLimits.end() && at < known->second.at)
             continue;
         if (std::isinf(record.perSecond))
-            m_words.erase(record.server);
-        else if (known != m_words.end() || m_words.size() < mostWords)
-            m_words[record.server] = {record, at};
+            m_knownLimits.erase(record.server);
+        else if (known != m_knownLimits.end() || m_knownLimits.size() < maxKnownLimits)
+            m_knownLimits[record.server] = {record, at};
     }
 }
 
 ////////////////////////////////////////////////////////////
-std::optional<ServerReport> ServerGossip::limitsInForce(core::Timestamp now) const
+std::optional<ServerReport> ServerGossip::currentLimits(core::Timestamp now) const
 {
-    if (m_words.empty())
+    if (m_knownLimits.empty())
         return std::nullopt;
     const auto   number = std::chrono::duration_cast<std::chrono::milliseconds>(now.time_since_epoch()).count();
     ServerReport report{m_self, static_cast<std::uint32_t>(number) - 1, {}, {}, {}, {}}; // Own ones go on after it
-    for (const auto& [server, word] : m_words)
+    for (const auto& [server, limit] : m_knownLimits)
     {
-        LimitRecord record = word.record;
+        LimitRecord record = limit.record;
         record.sent = 0;
-        record.agoMs = static_cast<std::uint32_t>(std::max(0.0, core::toMilliseconds(now - word.at)));
+        record.agoMs = static_cast<std::uint32_t>(std::max(0.0, core::toMilliseconds(now - limit.at)));
         report.limits.push_back(record);
     }
     // Of many, those that are the least open: a node that starts may take the others for open.
     std::sort(report.limits.begin(), report.limits.end(),
               [](const auto& left, const auto& right) { return left.doublings < right.doublings; });
-    if (report.limits.size() > mostLimits)
-        report.limits.resize(mostLimits);
+    if (report.limits.size() > maxLimits)
+        report.limits.resize(maxLimits);
     return report;
 }
 
 ////////////////////////////////////////////////////////////
-void ServerGossip::add(ServerReport report, const NewsSource& source, core::Timestamp now)
+void ServerGossip::append(ServerReport report, const ReportSource& source, core::Timestamp now)
 {
-    if (m_lastOf.size() >= mostOrigins)
-        m_lastOf.clear();
-    m_lastOf[report.origin] = report.number;
-    keep(report, now);
+    if (m_lastNumbers.size() >= maxOrigins)
+        m_lastNumbers.clear();
+    m_lastNumbers[report.origin] = report.number;
+    rememberLimits(report, now);
     m_entries.push_back({std::move(report), source, now});
 }
 
 ////////////////////////////////////////////////////////////
-std::uint64_t ServerGossip::end() const
+std::uint64_t ServerGossip::reportCount() const
 {
-    return m_begin + m_entries.size();
+    return m_dropped + m_entries.size();
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<ServerReport> ServerGossip::forFollower(std::uint64_t count, std::uint64_t link) const
+std::vector<ServerReport> ServerGossip::reportsForFollower(std::uint64_t count, std::uint64_t link) const
 {
     std::vector<ServerReport> reports;
-    for (std::uint64_t i = std::max(count, m_begin); i < end(); ++i)
+    for (std::uint64_t i = std::max(count, m_dropped); i < reportCount(); ++i)
     {
-        if (m_entries[i - m_begin].source.link != link)
-            reports.push_back(m_entries[i - m_begin].report);
+        if (m_entries[i - m_dropped].source.link != link)
+            reports.push_back(m_entries[i - m_dropped].report);
     }
     return reports;
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<ServerReport> ServerGossip::forRelay(std::uint64_t count) const
+std::vector<ServerReport> ServerGossip::reportsForRelay(std::uint64_t count) const
 {
     std::vector<ServerReport> reports;
-    for (std::uint64_t i = std::max(count, m_begin); i < end(); ++i)
+    for (std::uint64_t i = std::max(count, m_dropped); i < reportCount(); ++i)
     {
-        if (!m_entries[i - m_begin].source.fromRelay)
-            reports.push_back(m_entries[i - m_begin].report);
+        if (!m_entries[i - m_dropped].source.fromRelay)
+            reports.push_back(m_entries[i - m_dropped].report);
     }
     return reports;
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<ServerReport> ServerGossip::takeNews()
+std::vector<ServerReport> ServerGossip::takeReceived()
 {
-    return std::exchange(m_news, {});
+    return std::exchange(m_received, {});
 }
 
 } // namespace sailpath::replication
--- a/src/sailpath/replication/ValueDelta.cpp
+++ b/src/sailpath/replication/ValueDelta.cpp
@@ -10,10 +10,10 @@
 {
 namespace
 {
-constexpr int         level = 1;                  // Of zstd; a configuration of 0.5 MB takes about a millisecond
-constexpr int         leastWindow = 10;           // Binary order of bytes, zstd's least
-constexpr int         mostWindow = 26;            // Holds the longest value
-constexpr std::size_t longMatches = 128UL * 1024; // Bytes from which repetitions far apart are looked for
+constexpr int         compressionLevel = 1; // Of zstd; a configuration of 0.5 MB takes about a millisecond
+constexpr int         minWindowLog = 10;    // Binary order of bytes, zstd's least
+constexpr int         maxWindowLog = 26;    // Holds the longest value
+constexpr std::size_t longDistanceThreshold = 128UL * 1024; // Bytes from which repetitions far apart are looked for
 
 struct FreeCompressor
 {
@@ -36,13 +36,14 @@
 ////////////////////////////////////////////////////////////
 std::string packValue(std::string_view value, std::string_view base)
 {
-    const std::size_t span = value.size() + base.size();
-    const int         window = std::clamp(static_cast<int>(std::bit_width(span)), leastWindow, mostWindow);
+    const std::size_t totalSize = value.size() + base.size();
+    const int         windowLog = std::clamp(static_cast<int>(std::bit_width(totalSize)), minWindowLog, maxWindowLog);
     const std::unique_ptr<ZSTD_CCtx, FreeCompressor> context(ZSTD_createCCtx());
-    ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, level);
-    ZSTD_CCtx_setParameter(context.get(), ZSTD_c_windowLog, window);
+    ZSTD_CCtx_setParameter(context.get(), ZSTD_c_compressionLevel, compressionLevel);
+    ZSTD_CCtx_setParameter(context.get(), ZSTD_c_windowLog, windowLog);
     ZSTD_CCtx_setParameter(context.get(), ZSTD_c_checksumFlag, 1);
-    ZSTD_CCtx_setParameter(context.get(), ZSTD_c_enableLongDistanceMatching, span >= longMatches ? 1 : 0);
+    ZSTD_CCtx_setParameter(context.get(), ZSTD_c_enableLongDistanceMatching,
+                           totalSize >= longDistanceThreshold ? 1 : 0);
     ZSTD_CCtx_refPrefix(context.get(), base.data(), base.size());
     std::string       packed(ZSTD_compressBound(value.size()), '\0');
     const std::size_t size = ZSTD_compress2(context.get(), packed.data(), packed.size(), value.data(), value.size());
@@ -54,15 +55,15 @@
 std::optional<std::string> unpackValue(std::string_view packed, std::string_view base)
 {
     const auto size = ZSTD_getFrameContentSize(packed.data(), packed.size());
-    if (size == ZSTD_CONTENTSIZE_UNKNOWN || size == ZSTD_CONTENTSIZE_ERROR || size > longestValue)
+    if (size == ZSTD_CONTENTSIZE_UNKNOWN || size == ZSTD_CONTENTSIZE_ERROR || size > maxValueSize)
         return std::nullopt;
     const std::unique_ptr<ZSTD_DCtx, FreeDecompressor> context(ZSTD_createDCtx());
-    ZSTD_DCtx_setParameter(context.get(), ZSTD_d_windowLogMax, mostWindow);
+    ZSTD_DCtx_setParameter(context.get(), ZSTD_d_windowLogMax, maxWindowLog);
     ZSTD_DCtx_refPrefix(context.get(), base.data(), base.size());
     std::string       value(size, '\0');
-    const std::size_t taken =
+    const std::size_t unpackedSize =
         ZSTD_decompressDCtx(context.get(), value.data(), value.size(), packed.data(), packed.size());
-    if (ZSTD_isError(taken) != 0 || taken != value.size())
+    if (ZSTD_isError(unpackedSize) != 0 || unpackedSize != value.size())
         return std::nullopt;
     return value;
 }
--- a/test/adapters/Links.test.cpp
+++ b/test/adapters/Links.test.cpp
@@ -51,15 +51,15 @@
     replication::Update update = updateOf();
     const auto          items = update.items;
     update.items.clear();
-    update.whole = std::make_shared<const std::vector<replication::Item>>(items);
+    update.sharedItems = std::make_shared<const std::vector<replication::Item>>(items);
     const auto packed = adapters::links::packItems(items);
     for (const auto& bytes : {encode(LinkMessage(update)), encode(LinkMessage(update), packed)})
     {
         const auto decoded = decode(bytes);
         BOOST_REQUIRE(decoded.message);
         const auto& come = std::get<replication::Update>(*decoded.message);
-        BOOST_REQUIRE(come.whole);
-        BOOST_TEST((*come.whole == items));
+        BOOST_REQUIRE(come.sharedItems);
+        BOOST_TEST((*come.sharedItems == items));
         BOOST_TEST(come.items.empty());
     }
 }
@@ -67,7 +67,7 @@
 BOOST_AUTO_TEST_CASE(AWholeCopyThatDoesNotUnpackIsMalformed)
 {
     replication::Update update = updateOf();
-    update.whole = std::make_shared<const std::vector<replication::Item>>(update.items);
+    update.sharedItems = std::make_shared<const std::vector<replication::Item>>(update.items);
     const auto decoded = decode(encode(LinkMessage(update), "no packed items"));
     BOOST_TEST(decoded.malformed);
 }
--- a/test/platform/Platform.test.cpp
+++ b/test/platform/Platform.test.cpp
@@ -21,8 +21,8 @@
 {
 using namespace sailpath;
 using namespace std::chrono_literals;
-using replication::SourceAnswer;
-using replication::SourceStatus;
+using replication::ReadResult;
+using replication::ReadStatus;
 using standins::StoreFault;
 using standins::StoreStandIn;
 
@@ -52,21 +52,21 @@
 ////////////////////////////////////////////////////////////
 struct Caller
 {
-    SourceAnswer read(replication::Reading how = replication::Reading::Latest)
+    ReadResult read(replication::ReadMode how = replication::ReadMode::Latest)
     {
         return run([this, how](auto answered) { source.read(how, answered); });
     }
 
-    SourceAnswer watch(std::uint64_t after, core::Duration wait)
+    ReadResult watch(std::uint64_t after, core::Duration wait)
     {
         return run([&](auto answered) { source.watch(after, wait, answered); });
     }
 
     template <typename Call>
-    SourceAnswer run(Call call)
+    ReadResult run(Call call)
     {
-        std::optional<SourceAnswer> got;
-        call([&](SourceAnswer answer) { got = std::move(answer); });
+        std::optional<ReadResult> got;
+        call([&](ReadResult answer) { got = std::move(answer); });
         context.restart();
         while (!got && context.run_one() > 0)
         {
@@ -468,8 +468,8 @@
 {
     for (int i = 0; i < 400; ++i)
         store.put("servers/" + std::to_string(1000 + i), "value");
-    const SourceAnswer answer = read();
-    BOOST_TEST((answer.status == SourceStatus::Ok));
+    const ReadResult answer = read();
+    BOOST_TEST((answer.status == ReadStatus::Ok));
     BOOST_TEST(answer.items.size() == 400U);
 }
 
@@ -477,8 +477,8 @@
 {
     for (int i = 0; i < 8; ++i)
         store.put("servers/i " + std::to_string(i), "value " + std::to_string(i));
-    const SourceAnswer answer = read();
-    BOOST_TEST((answer.status == SourceStatus::Ok));
+    const ReadResult answer = read();
+    BOOST_TEST((answer.status == ReadStatus::Ok));
     BOOST_REQUIRE_EQUAL(answer.items.size(), 8U);
     BOOST_TEST(answer.items[7].value == "value 7");
     BOOST_TEST(answer.at == 9U);
@@ -491,7 +491,7 @@
 {
     store.put("servers/i", "value");
     BOOST_TEST(read().snapshot);
-    BOOST_TEST(!read(replication::Reading::MayBeOld).snapshot);
+    BOOST_TEST(!read(replication::ReadMode::MayBeStale).snapshot);
 }
 
 BOOST_AUTO_TEST_CASE(ACheapReadingIsTakenForAsOldAsItsOldestPage)
@@ -499,8 +499,8 @@
     for (int i = 0; i < 8; ++i)
         store.put("servers/i " + std::to_string(i), "value " + std::to_string(i));
     store.remove("servers/i 7");
-    const SourceAnswer answer = read(replication::Reading::MayBeOld);
-    BOOST_TEST((answer.status == SourceStatus::Ok));
+    const ReadResult answer = read(replication::ReadMode::MayBeStale);
+    BOOST_TEST((answer.status == ReadStatus::Ok));
     BOOST_TEST(answer.items.size() == 7U);
     BOOST_TEST(answer.at == 4U); // The first page ends with the third item written
     BOOST_TEST(store.oldReads() == store.calls());
@@ -510,8 +510,8 @@
 {
     store.put("a", "1");
     store.remove("b");
-    const SourceAnswer answer = watch(1, 5s);
-    BOOST_TEST((answer.status == SourceStatus::Ok));
+    const ReadResult answer = watch(1, 5s);
+    BOOST_TEST((answer.status == ReadStatus::Ok));
     BOOST_REQUIRE_EQUAL(answer.items.size(), 2U);
     BOOST_TEST(!answer.items[0].gone);
     BOOST_TEST(answer.items[1].gone);
@@ -520,8 +520,8 @@
 
 BOOST_AUTO_TEST_CASE(AWatchWithoutChangesEndsInItsTime)
 {
-    const SourceAnswer answer = watch(1, 5ms);
-    BOOST_TEST((answer.status == SourceStatus::Ok));
+    const ReadResult answer = watch(1, 5ms);
+    BOOST_TEST((answer.status == ReadStatus::Ok));
     BOOST_TEST(answer.items.empty());
     BOOST_TEST(answer.at == 1U);
 }
@@ -530,7 +530,7 @@
 {
     store.put("a", "1");
     store.forgetHistory();
-    BOOST_TEST((watch(1, 1s).status == SourceStatus::HistoryLost));
+    BOOST_TEST((watch(1, 1s).status == ReadStatus::HistoryLost));
 }
 
 BOOST_AUTO_TEST_CASE(EveryFaultIsAFailureAndTheNextCallWorks)
@@ -540,10 +540,10 @@
          {StoreFault::Refuse, StoreFault::TooMany, StoreFault::Silent, StoreFault::LostAnswer, StoreFault::Garbled})
     {
         store.setFault(fault);
-        BOOST_TEST((read().status == SourceStatus::Failed));
-        BOOST_TEST((watch(0, 1ms).status == SourceStatus::Failed));
+        BOOST_TEST((read().status == ReadStatus::Failed));
+        BOOST_TEST((watch(0, 1ms).status == ReadStatus::Failed));
         store.setFault(StoreFault::None);
-        BOOST_TEST((read().status == SourceStatus::Ok));
+        BOOST_TEST((read().status == ReadStatus::Ok));
     }
 }
 
--- a/test/replication/BootstrapRelays.test.cpp
+++ b/test/replication/BootstrapRelays.test.cpp
@@ -35,7 +35,7 @@
 ////////////////////////////////////////////////////////////
 bool follows(const Bootstrap& first, const std::string& address, core::Timestamp now)
 {
-    const auto upstreams = first.upstreams(now);
+    const auto upstreams = first.upstreamsToFollow(now);
     return std::find(upstreams.begin(), upstreams.end(), address) != upstreams.end();
 }
 
@@ -60,9 +60,9 @@
     const auto strong = nodesOf(2, 3, "strong");
     nodes.insert(nodes.end(), strong.begin(), strong.end());
     BootstrapRelays introductions(1);
-    introductions.waiting(30, start);
+    introductions.updateWaiting(30, start);
     introductions.refresh(nodes, 1, start);
-    const auto names = introductions.namesFor(nodes.front());
+    const auto names = introductions.relaysFor(nodes.front());
     BOOST_REQUIRE(!names.empty());
     BOOST_TEST(names.front().dataCentre == "strong");
 }
@@ -82,49 +82,49 @@
 BOOST_AUTO_TEST_CASE(AFewAreServedByTheSeedItselfAndACrowdIsNot)
 {
     BootstrapRelays introductions(1);
-    introductions.waiting(8, start);
-    BOOST_TEST(!introductions.crowd());
-    introductions.waiting(9, start);
-    BOOST_TEST(introductions.crowd());
-    BOOST_TEST(!introductions.wantsRefresh(1, start + 49ms));
-    BOOST_TEST(introductions.wantsRefresh(1, start + 50ms));
+    introductions.updateWaiting(8, start);
+    BOOST_TEST(!introductions.isCrowded());
+    introductions.updateWaiting(9, start);
+    BOOST_TEST(introductions.isCrowded());
+    BOOST_TEST(!introductions.needsRefresh(1, start + 49ms));
+    BOOST_TEST(introductions.needsRefresh(1, start + 50ms));
 }
 
 BOOST_AUTO_TEST_CASE(CopiesSentOfLateCountAsACrowd)
 {
     BootstrapRelays introductions(1);
     for (int copy = 0; copy < 8; ++copy)
-        introductions.served(start);
-    introductions.waiting(1, start + 500ms);
-    BOOST_TEST(introductions.crowd());
-    introductions.waiting(1, start + 1100ms);
-    BOOST_TEST(!introductions.crowd());
+        introductions.copySent(start);
+    introductions.updateWaiting(1, start + 500ms);
+    BOOST_TEST(introductions.isCrowded());
+    introductions.updateWaiting(1, start + 1100ms);
+    BOOST_TEST(!introductions.isCrowded());
 }
 
 BOOST_AUTO_TEST_CASE(ANodeAsksTheStoreOnlyAfterTheTimeOfACrowdOfReadings)
 {
     const Bootstrap first = firstCopy("a:1", {"s:1"});
-    BOOST_TEST(!first.readsStore(start + 599ms));
-    BOOST_TEST(first.readsStore(start + 1300ms));
+    BOOST_TEST(!first.shouldReadStore(start + 599ms));
+    BOOST_TEST(first.shouldReadStore(start + 1300ms));
     BOOST_TEST(follows(first, "s:1", start));
 }
 
 BOOST_AUTO_TEST_CASE(ACopyOnItsWayIsWaitedForButNotForEver)
 {
     Bootstrap first = firstCopy("a:1", {"s:1"});
-    first.bytesCame(start + 1300ms);
-    BOOST_TEST(!first.readsStore(start + 1400ms));
-    BOOST_TEST(first.readsStore(start + 1460ms));
-    first.bytesCame(start + 1990ms);
-    BOOST_TEST(first.readsStore(start + 2s));
+    first.updateProgressed(start + 1300ms);
+    BOOST_TEST(!first.shouldReadStore(start + 1400ms));
+    BOOST_TEST(first.shouldReadStore(start + 1460ms));
+    first.updateProgressed(start + 1990ms);
+    BOOST_TEST(first.shouldReadStore(start + 2s));
 }
 
 BOOST_AUTO_TEST_CASE(ARelayReadsAtOnceWhenNobodyHasACopy)
 {
     Bootstrap first = firstCopy("a:1", {"s:1"});
-    first.named(std::vector<NodeAddress>{{"a:1", "dc", 0, 1}, {"b:1", "dc", 0, 1}}, start + 10ms);
-    first.lacking();
-    BOOST_TEST(first.readsStore(start + 10ms));
+    first.setRelays(std::vector<NodeAddress>{{"a:1", "dc", 0, 1}, {"b:1", "dc", 0, 1}}, start + 10ms);
+    first.peerHasNoCopy();
+    BOOST_TEST(first.shouldReadStore(start + 10ms));
     BOOST_TEST(follows(first, "b:1", start + 10ms));
     BOOST_TEST(!follows(first, "a:1", start + 10ms));
 }
@@ -132,47 +132,47 @@
 BOOST_AUTO_TEST_CASE(ASeedWaitsForAnotherThatItReached)
 {
     Bootstrap first = firstCopy("s:1", {"s:1", "s:2"});
-    BOOST_TEST(!first.readsStore(start + 39ms));
-    BOOST_TEST(first.readsStore(start + 40ms));
-    first.reached("s:2", start);
-    BOOST_TEST(!first.readsStore(start + 149ms));
-    BOOST_TEST(first.readsStore(start + 150ms));
-    first.lacking();
-    BOOST_TEST(first.readsStore(start + 5ms));
+    BOOST_TEST(!first.shouldReadStore(start + 39ms));
+    BOOST_TEST(first.shouldReadStore(start + 40ms));
+    first.linkUp("s:2", start);
+    BOOST_TEST(!first.shouldReadStore(start + 149ms));
+    BOOST_TEST(first.shouldReadStore(start + 150ms));
+    first.peerHasNoCopy();
+    BOOST_TEST(first.shouldReadStore(start + 5ms));
 }
 
 BOOST_AUTO_TEST_CASE(ASeedThatCannotBeReachedIsTriedAgainSoonAndAnotherMeanwhile)
 {
     Bootstrap         first = firstCopy("a:1", {"s:1", "s:2"});
-    const std::string before = first.upstreams(start).front();
-    first.unreachable(before, start + 60ms);
+    const std::string before = first.upstreamsToFollow(start).front();
+    first.linkDown(before, start + 60ms);
     BOOST_TEST(!follows(first, before, start + 60ms));
-    BOOST_TEST(first.upstreams(start + 60ms).size() == 1U);
+    BOOST_TEST(first.upstreamsToFollow(start + 60ms).size() == 1U);
     BOOST_TEST(follows(first, before, start + 80ms));
-    const std::string other = first.upstreams(start + 60ms).front();
-    first.reached(other, start + 80ms);
-    BOOST_TEST(first.upstreams(start + 90ms).front() == other);
+    const std::string other = first.upstreamsToFollow(start + 60ms).front();
+    first.linkUp(other, start + 80ms);
+    BOOST_TEST(first.upstreamsToFollow(start + 90ms).front() == other);
 }
 
 BOOST_AUTO_TEST_CASE(AShortReadingIsTriedOnceWhileNoSeedIsReached)
 {
     Bootstrap first = firstCopy("a:1", {"s:1"});
-    BOOST_TEST(!first.readsEarly(start + 19ms));
-    BOOST_TEST(first.readsEarly(start + 20ms));
+    BOOST_TEST(!first.shouldReadEarly(start + 19ms));
+    BOOST_TEST(first.shouldReadEarly(start + 20ms));
     Bootstrap reached = firstCopy("a:1", {"s:1"});
-    reached.reached("s:1", start);
-    BOOST_TEST(!reached.readsEarly(start + 20ms));
-    BOOST_TEST((first.earlyReading(start + 20ms) == start + 60ms));
-    BOOST_TEST(!first.readsEarly(start + 200ms));
+    reached.linkUp("s:1", start);
+    BOOST_TEST(!reached.shouldReadEarly(start + 20ms));
+    BOOST_TEST((first.beginEarlyRead(start + 20ms) == start + 60ms));
+    BOOST_TEST(!first.shouldReadEarly(start + 200ms));
 }
 
 BOOST_AUTO_TEST_CASE(ASilentRelayIsJoinedByAnother)
 {
     Bootstrap first = firstCopy("a:1", {"s:1"});
-    first.named(nodesOf(3, 1, "dc"), start);
-    BOOST_TEST(first.upstreams(start + 10ms).size() == 2U);
-    BOOST_TEST(first.upstreams(start + 130ms).size() == 3U);
-    BOOST_TEST(first.upstreams(start + 250ms).size() == 4U);
+    first.setRelays(nodesOf(3, 1, "dc"), start);
+    BOOST_TEST(first.upstreamsToFollow(start + 10ms).size() == 2U);
+    BOOST_TEST(first.upstreamsToFollow(start + 130ms).size() == 3U);
+    BOOST_TEST(first.upstreamsToFollow(start + 250ms).size() == 4U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/replication/LargeValues.test.cpp
+++ b/test/replication/LargeValues.test.cpp
@@ -85,9 +85,9 @@
                 bytes += item.value.size();
             for (const replication::PackedItem& item : sent->update.packed)
                 bytes += item.packed.size();
-            if (sent->update.whole)
+            if (sent->update.sharedItems)
             {
-                for (const Item& item : *sent->update.whole)
+                for (const Item& item : *sent->update.sharedItems)
                     bytes += item.value.size();
             }
             node.updateReceived(link, sent->update, now);
--- a/test/replication/ServerGossip.test.cpp
+++ b/test/replication/ServerGossip.test.cpp
@@ -39,47 +39,47 @@
 BOOST_AUTO_TEST_CASE(WhatWasSeenBecomesOneReportASpan)
 {
     ServerGossip news(1);
-    news.saw(7);
-    news.saw(7);
-    news.saw(8);
+    news.recordFailure(7);
+    news.recordFailure(7);
+    news.recordFailure(8);
     news.tick(start);
-    news.saw(9);
+    news.recordFailure(9);
     news.tick(start + 100ms);
-    BOOST_REQUIRE_EQUAL(news.forRelay(0).size(), 1U);
-    BOOST_TEST((news.forRelay(0)[0].servers == std::vector<std::uint32_t>{7, 8}));
+    BOOST_REQUIRE_EQUAL(news.reportsForRelay(0).size(), 1U);
+    BOOST_TEST((news.reportsForRelay(0)[0].servers == std::vector<std::uint32_t>{7, 8}));
     news.tick(start + 350ms);
-    BOOST_TEST(news.forRelay(0).size() == 2U);
-    BOOST_TEST(news.takeNews().empty());
+    BOOST_TEST(news.reportsForRelay(0).size() == 2U);
+    BOOST_TEST(news.takeReceived().empty());
 }
 
 BOOST_AUTO_TEST_CASE(AReportIsTakenOnceAndNotSentBackWhereItCameFrom)
 {
     ServerGossip                    news(1);
     const std::vector<ServerReport> told{{2, 10, {7}}};
-    news.heard(told, {4, false}, start);
-    news.heard(told, {6, true}, start);
-    BOOST_TEST(news.takeNews().size() == 1U);
-    BOOST_TEST(news.forFollower(0, 4).empty());
-    BOOST_TEST(news.forFollower(0, 8).size() == 1U);
-    BOOST_TEST(news.forRelay(0).size() == 1U);
+    news.receive(told, {4, false}, start);
+    news.receive(told, {6, true}, start);
+    BOOST_TEST(news.takeReceived().size() == 1U);
+    BOOST_TEST(news.reportsForFollower(0, 4).empty());
+    BOOST_TEST(news.reportsForFollower(0, 8).size() == 1U);
+    BOOST_TEST(news.reportsForRelay(0).size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(WhatARelayToldIsNotToldToRelays)
 {
     ServerGossip news(1);
-    news.heard(std::vector<ServerReport>{{2, 10, {7}}}, {5, true}, start);
-    BOOST_TEST(news.forRelay(0).empty());
-    BOOST_TEST(news.forFollower(0, 8).size() == 1U);
+    news.receive(std::vector<ServerReport>{{2, 10, {7}}}, {5, true}, start);
+    BOOST_TEST(news.reportsForRelay(0).empty());
+    BOOST_TEST(news.reportsForFollower(0, 8).size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(OwnReportsThatComeBackAndOldNewsAreLeftOut)
 {
     ServerGossip news(1);
-    news.heard(std::vector<ServerReport>{{1, 10, {7}}}, {4, false}, start);
-    BOOST_TEST(news.takeNews().empty());
-    news.heard(std::vector<ServerReport>{{2, 10, {7}}}, {4, false}, start);
+    news.receive(std::vector<ServerReport>{{1, 10, {7}}}, {4, false}, start);
+    BOOST_TEST(news.takeReceived().empty());
+    news.receive(std::vector<ServerReport>{{2, 10, {7}}}, {4, false}, start);
     news.tick(start + 4s);
-    BOOST_TEST(news.forFollower(0, 8).empty());
+    BOOST_TEST(news.reportsForFollower(0, 8).empty());
 }
 
 BOOST_AUTO_TEST_CASE(ANodeThatSeesAllFailIsNotBelieved)
@@ -88,76 +88,76 @@
     ServerReport all{2, 10, {}};
     for (std::uint32_t server = 0; server < 100; ++server)
         all.servers.push_back(server);
-    news.heard(std::vector<ServerReport>{all}, {4, false}, start);
-    BOOST_TEST(news.takeNews().empty());
+    news.receive(std::vector<ServerReport>{all}, {4, false}, start);
+    BOOST_TEST(news.takeReceived().empty());
 }
 
 BOOST_AUTO_TEST_CASE(ServersThatEndUnderRequestsAreToldAtOnce)
 {
     ServerGossip           news(1);
     replication::EndRecord record{7, {}, 5, 80, 0};
-    news.saw(7);
+    news.recordFailure(7);
     news.tick(start);
-    news.sawEnd(record, start + 90ms);
+    news.recordEnd(record, start + 90ms);
     news.tick(start + 100ms);
-    BOOST_REQUIRE_EQUAL(news.forRelay(0).size(), 2U);
-    BOOST_TEST(news.urgentSince(1));
-    BOOST_TEST(!news.urgentSince(2));
-    BOOST_REQUIRE_EQUAL(news.forRelay(1)[0].ends.size(), 1U);
-    BOOST_TEST(news.forRelay(1)[0].ends[0].agoMs == 10U);
+    BOOST_REQUIRE_EQUAL(news.reportsForRelay(0).size(), 2U);
+    BOOST_TEST(news.hasUrgentSince(1));
+    BOOST_TEST(!news.hasUrgentSince(2));
+    BOOST_REQUIRE_EQUAL(news.reportsForRelay(1)[0].ends.size(), 1U);
+    BOOST_TEST(news.reportsForRelay(1)[0].ends[0].agoMs == 10U);
 }
 
 BOOST_AUTO_TEST_CASE(WhoTellsOfTooManyEndsIsNotBelieved)
 {
     ServerGossip news(1);
     ServerReport all{2, 10, {}, std::vector<replication::EndRecord>(100), {}};
-    news.heard(std::vector<ServerReport>{all}, {4, false}, start);
-    BOOST_TEST(news.takeNews().empty());
+    news.receive(std::vector<ServerReport>{all}, {4, false}, start);
+    BOOST_TEST(news.takeReceived().empty());
 }
 
 BOOST_AUTO_TEST_CASE(WhatIsSentToALimitedServerIsAddedUpAndToldAtOnce)
 {
     ServerGossip news(1);
-    news.limited({7, 3.5, 0, 1, -1}, start);
-    news.limited({7, 3, 0, 1, -2}, start + 5ms);
+    news.recordLimit({7, 3.5, 0, 1, -1}, start);
+    news.recordLimit({7, 3, 0, 1, -2}, start + 5ms);
     news.tick(start + 10ms);
-    BOOST_TEST(news.urgentSince(0));
-    BOOST_REQUIRE_EQUAL(news.forRelay(0).size(), 1U);
-    BOOST_REQUIRE_EQUAL(news.forRelay(0)[0].limits.size(), 1U);
-    BOOST_TEST((news.forRelay(0)[0].limits[0] == replication::LimitRecord{7, 3, 5, 2, -2}));
+    BOOST_TEST(news.hasUrgentSince(0));
+    BOOST_REQUIRE_EQUAL(news.reportsForRelay(0).size(), 1U);
+    BOOST_REQUIRE_EQUAL(news.reportsForRelay(0)[0].limits.size(), 1U);
+    BOOST_TEST((news.reportsForRelay(0)[0].limits[0] == replication::LimitRecord{7, 3, 5, 2, -2}));
 }
 
 BOOST_AUTO_TEST_CASE(WhatIsNotPressedWaitsForOthersAndWhatIsDoesNot)
 {
     constexpr double much = 3;
     ServerGossip     news(1);
-    news.limited({7, 30, 0, 1, much}, start);
+    news.recordLimit({7, 30, 0, 1, much}, start);
     news.tick(start);
-    BOOST_TEST(news.end() == 1U);
-    BOOST_TEST(!news.urgentSince(0));
-    BOOST_TEST(news.soonSince(0));
-    news.limited({7, 30, 0, 1, much}, start + 10ms);
-    news.limited({8, 30, 0, 1, much}, start + 40ms);
+    BOOST_TEST(news.reportCount() == 1U);
+    BOOST_TEST(!news.hasUrgentSince(0));
+    BOOST_TEST(news.hasLimitsSince(0));
+    news.recordLimit({7, 30, 0, 1, much}, start + 10ms);
+    news.recordLimit({8, 30, 0, 1, much}, start + 40ms);
     news.tick(start + 50ms);
-    BOOST_TEST(news.end() == 1U);
-    BOOST_TEST((news.nextUrgent() == start + ServerGossip::gather));
-    news.tick(start + ServerGossip::gather);
-    BOOST_REQUIRE_EQUAL(news.end(), 2U);
-    BOOST_TEST(news.forRelay(1)[0].limits.size() == 2U);
+    BOOST_TEST(news.reportCount() == 1U);
+    BOOST_TEST((news.nextReportDue() == start + ServerGossip::batchDelay));
+    news.tick(start + ServerGossip::batchDelay);
+    BOOST_REQUIRE_EQUAL(news.reportCount(), 2U);
+    BOOST_TEST(news.reportsForRelay(1)[0].limits.size() == 2U);
     // Pressed: the next report goes with it at once.
-    news.limited({9, 30, 0, 1, 0.5}, start + 80ms);
+    news.recordLimit({9, 30, 0, 1, 0.5}, start + 80ms);
     news.tick(start + 80ms);
-    BOOST_TEST(news.end() == 3U);
-    BOOST_TEST(news.urgentSince(2));
+    BOOST_TEST(news.reportCount() == 3U);
+    BOOST_TEST(news.hasUrgentSince(2));
 }
 
 BOOST_AUTO_TEST_CASE(OfManyLimitsAFollowerThatJoinsIsToldTheLeastOpen)
 {
     ServerGossip news(1);
     for (std::uint32_t i = 0; i < 80; ++i)
-        news.heard(std::vector<ServerReport>{{2, i + 1, {}, {}, {}, {{i, 30, 0, 0, i < 10 ? -1.0 : 3.0}}}}, {4, false},
-                   start);
-    const auto told = news.limitsInForce(start);
+        news.receive(std::vector<ServerReport>{{2, i + 1, {}, {}, {}, {{i, 30, 0, 0, i < 10 ? -1.0 : 3.0}}}},
+                     {4, false}, start);
+    const auto told = news.currentLimits(start);
     BOOST_REQUIRE(told);
     BOOST_TEST(told->limits.size() == 64U);
     for (std::size_t i = 0; i < 10; ++i)
@@ -168,31 +168,31 @@
 {
     constexpr double none = std::numeric_limits<double>::infinity();
     ServerGossip     news(1);
-    BOOST_TEST(!news.limitsInForce(start));
-    news.heard(std::vector<ServerReport>{{2, 10, {}, {}, {}, {{7, 3.5, 20, 4, -1}, {8, 1, 0, 1, 0}}}}, {4, false},
-               start);
-    news.heard(std::vector<ServerReport>{{2, 11, {}, {}, {}, {{8, none, 0, 0, 0}}}}, {4, false}, start + 1s);
-    const auto told = news.limitsInForce(start + 1s);
+    BOOST_TEST(!news.currentLimits(start));
+    news.receive(std::vector<ServerReport>{{2, 10, {}, {}, {}, {{7, 3.5, 20, 4, -1}, {8, 1, 0, 1, 0}}}}, {4, false},
+                 start);
+    news.receive(std::vector<ServerReport>{{2, 11, {}, {}, {}, {{8, none, 0, 0, 0}}}}, {4, false}, start + 1s);
+    const auto told = news.currentLimits(start + 1s);
     BOOST_REQUIRE(told);
     BOOST_REQUIRE_EQUAL(told->limits.size(), 1U);
     BOOST_TEST((told->limits[0] == replication::LimitRecord{7, 3.5, 1020, 0, -1}));
     // Own reports go on after it.
     ServerGossip follower(3);
-    follower.heard(std::vector<ServerReport>{*told}, {6, true}, start + 1s);
-    news.limited({7, 3, 0, 1, -1}, start + 1s);
+    follower.receive(std::vector<ServerReport>{*told}, {6, true}, start + 1s);
+    news.recordLimit({7, 3, 0, 1, -1}, start + 1s);
     news.tick(start + 1s);
-    follower.heard(news.forFollower(0, 9), {6, true}, start + 1s);
-    BOOST_TEST(follower.takeNews().back().origin == 1U);
-    BOOST_TEST(follower.takeNews().empty());
+    follower.receive(news.reportsForFollower(0, 9), {6, true}, start + 1s);
+    BOOST_TEST(follower.takeReceived().back().origin == 1U);
+    BOOST_TEST(follower.takeReceived().empty());
 }
 
 BOOST_AUTO_TEST_CASE(WhoTellsOfTooManyLimitsIsNotBelieved)
 {
     ServerGossip news(1);
     ServerReport all{2, 10, {}, {}, {}, std::vector<replication::LimitRecord>(100)};
-    news.heard(std::vector<ServerReport>{all}, {4, false}, start);
-    BOOST_TEST(news.takeNews().empty());
-    BOOST_TEST(!news.limitsInForce(start));
+    news.receive(std::vector<ServerReport>{all}, {4, false}, start);
+    BOOST_TEST(news.takeReceived().empty());
+    BOOST_TEST(!news.currentLimits(start));
 }
 
 BOOST_AUTO_TEST_CASE(AFleetHearsOfEndsWithinHalfASecond)
--- a/test/replication/removals/Interleavings.test.cpp
+++ b/test/replication/removals/Interleavings.test.cpp
@@ -204,7 +204,7 @@
     const auto link = linkOf(node, start);
     node.storeRead(config, 100, start, start);
     node.updateReceived(link, wholePicture(120, config), start + 10ms);
-    BOOST_TEST(node.table().at() == 120U);
+    BOOST_TEST(node.table().revision() == 120U);
     node.storeChanged(std::vector<Item>{{brief, "ready", 110, false}}, 110, start + 12ms);
     BOOST_TEST(!has(node, brief));
 }
@@ -228,7 +228,7 @@
     node.storeRead(config, 100, start, start);
     (void)node.takeActions();
     node.storeChanged({}, 110, start + 10ms);
-    BOOST_TEST(node.table().at() == 100U);
+    BOOST_TEST(node.table().revision() == 100U);
     // It reads anew, and not at once: a store that goes on so is not asked without pause.
     const auto reads = [&]
     {
@@ -250,7 +250,7 @@
     const auto link = linkOf(node, start);
     node.storeRead(config, 100, {}, start);
     node.updateReceived(link, wholePicture(95, config), start + 1200ms);
-    BOOST_TEST(!node.table().exact());
+    BOOST_TEST(!node.table().isExact());
 }
 
 BOOST_AUTO_TEST_CASE(AnEmptyAnswerCountsFromWhenTheStoreGaveItNotFromWhenItCame)
@@ -270,12 +270,12 @@
     std::vector<Item>       changed;
     const std::vector<Item> before{{"k", "old", 5, false}, {"other", "x", 6, false}};
     const std::vector<Item> after{{"k", "new", 12, false}, {"other", "x", 6, false}};
-    table.takeSnapshot(before, 6, changed);
-    table.takeSnapshot(after, 12, changed);
-    const auto told = table.since(table.tellAfter(6));
+    table.applySnapshot(before, 6, changed);
+    table.applySnapshot(after, 12, changed);
+    const auto told = table.changesAfter(table.resendAfter(6));
     BOOST_REQUIRE_EQUAL(told.size(), 1U);
     BOOST_TEST(told[0].value == "new");
-    BOOST_TEST(table.gapAfter(6));
+    BOOST_TEST(table.hasGapAfter(6));
 }
 
 BOOST_AUTO_TEST_CASE(SeveralKeysOfOneRevisionAreToldTogether)
@@ -284,15 +284,15 @@
     std::vector<Item>       changed;
     const std::vector<Item> first{{"a", "1", 5, false}, {"b", "1", 5, false}};
     const std::vector<Item> second{{"a", "", 7, true}, {"b", "", 7, true}, {"c", "1", 7, false}};
-    table.takeSnapshot(first, 5, changed);
-    table.take(second, 7, changed);
+    table.applySnapshot(first, 5, changed);
+    table.apply(second, 7, changed);
     ItemTable other;
-    other.takeSnapshot(first, 5, changed);
-    const auto told = table.since(table.tellAfter(5));
-    other.take({5, 7, table.gapAfter(5), told}, changed);
+    other.applySnapshot(first, 5, changed);
+    const auto told = table.changesAfter(table.resendAfter(5));
+    other.apply({5, 7, table.hasGapAfter(5), told}, changed);
     BOOST_REQUIRE_EQUAL(other.all().size(), 1U);
     BOOST_TEST(other.all()[0].key == "c");
-    BOOST_TEST(other.since(5).size() == 3U);
+    BOOST_TEST(other.changesAfter(5).size() == 3U);
 }
 
 BOOST_AUTO_TEST_CASE(WhatACopyTakesBackItsFollowersTakeBackToo)
@@ -303,14 +303,14 @@
     ItemTable               follower;
     std::vector<Item>       changed;
     const std::vector<Item> came{{brief, "ready", 43, false}};
-    relay.takeSnapshot(config, 42, changed);
-    relay.take(came, 44, changed);
-    follower.takeSnapshot(relay.all(), 44, changed);
+    relay.applySnapshot(config, 42, changed);
+    relay.apply(came, 44, changed);
+    follower.applySnapshot(relay.all(), 44, changed);
     const std::vector<Item> none;
-    relay.take({42, 44, true, none}, changed);
-    relay.takeSnapshot(config, 49, changed);
-    const auto told = relay.since(relay.tellAfter(44));
-    follower.take({relay.tellAfter(44), 49, relay.gapAfter(44), told}, changed);
+    relay.apply({42, 44, true, none}, changed);
+    relay.applySnapshot(config, 49, changed);
+    const auto told = relay.changesAfter(relay.resendAfter(44));
+    follower.apply({relay.resendAfter(44), 49, relay.hasGapAfter(44), told}, changed);
     BOOST_TEST(follower.all().size() == relay.all().size());
 }
 
@@ -319,10 +319,10 @@
     ItemTable               table;
     std::vector<Item>       changed;
     const std::vector<Item> before{{"k", "x", 5, false}};
-    table.takeSnapshot(before, 5, changed);
-    table.takeSnapshot({}, 9, changed);
+    table.applySnapshot(before, 5, changed);
+    table.applySnapshot({}, 9, changed);
     BOOST_TEST(table.all().empty());
-    BOOST_TEST(table.since(5).size() == 1U);
+    BOOST_TEST(table.changesAfter(5).size() == 1U);
 }
 
 ////////////////////////////////////////////////////////////
@@ -349,13 +349,14 @@
         };
         const auto tell = [&](const ItemTable& from, ItemTable& to)
         {
-            if (!from.exact() || from.at() == 0)
+            if (!from.isExact() || from.revision() == 0)
                 return;
-            const std::uint64_t after = to.at() == 0 || to.at() > from.at() ? 0 : from.tellAfter(to.at());
+            const std::uint64_t after =
+                to.revision() == 0 || to.revision() > from.revision() ? 0 : from.resendAfter(to.revision());
             if (after == 0)
-                return to.takeSnapshot(from.all(), from.at(), changed);
-            const auto items = from.since(after);
-            to.take({after, from.at(), from.gapAfter(after), items}, changed);
+                return to.applySnapshot(from.all(), from.revision(), changed);
+            const auto items = from.changesAfter(after);
+            to.apply({after, from.revision(), from.hasGapAfter(after), items}, changed);
         };
         for (int step = 0; step < 400; ++step)
         {
@@ -365,7 +366,7 @@
             {
             case 0: // A snapshot; the first copy's only, now and then another's
                 if (index == 0 || random.unit() < 0.2)
-                    table.takeSnapshot(all(store), revision, changed);
+                    table.applySnapshot(all(store), revision, changed);
                 break;
             case 1: // Start anew from an old reading
                 if (random.unit() < 0.3)
@@ -377,15 +378,15 @@
                         newest = std::max(newest, item.revision);
                     table = ItemTable();
                     if (newest > 0)
-                        table.takeReading(all(old->second), newest, old->first, changed);
+                        table.applyNonAtomicRead(all(old->second), newest, old->first, changed);
                 }
                 break;
             case 2: // The whole history, as a watch tells it
                 // History from before the first moment that is kept is lost.
-                if (table.at() >= past.begin()->first)
+                if (table.revision() >= past.begin()->first)
                 {
                     std::vector<Item> items;
-                    const auto        known = past.upper_bound(table.at());
+                    const auto        known = past.upper_bound(table.revision());
                     if (known != past.begin())
                     {
                         std::map<std::string, Item> last;
@@ -406,7 +407,7 @@
                         for (const auto& [key, item] : last)
                             items.push_back(item);
                     }
-                    table.take(items, revision, changed);
+                    table.apply(items, revision, changed);
                 }
                 break;
             case 3:
@@ -428,9 +429,9 @@
                     past.erase(past.begin());
                 break;
             }
-            if (!table.exact() || table.at() == 0)
+            if (!table.isExact() || table.revision() == 0)
                 continue;
-            const auto moment = past.find(table.at());
+            const auto moment = past.find(table.revision());
             if (moment == past.end())
                 continue;
             std::map<std::string, Item> held;
@@ -443,9 +444,10 @@
                                       "seed " << seed << ", step " << step << ": lacks " << key);
             }
             for (const auto& [key, item] : held)
-                BOOST_REQUIRE_MESSAGE(moment->second.find(key) != moment->second.end() || item.revision > table.at(),
+                BOOST_REQUIRE_MESSAGE(moment->second.find(key) != moment->second.end() ||
+                                          item.revision > table.revision(),
                                       "seed " << seed << ", step " << step << ": copy " << index << " as of "
-                                              << table.at() << " keeps " << key << " of " << item.revision);
+                                              << table.revision() << " keeps " << key << " of " << item.revision);
         }
     }
 }
--- a/test/replication/removals/Removals.test.cpp
+++ b/test/replication/removals/Removals.test.cpp
@@ -123,7 +123,7 @@
         if (const auto* sent = std::get_if<SendUpdate>(&action))
             node.updateReceived(link, sent->update, start + 201ms);
     }
-    BOOST_TEST(node.table().at() == 140U);
+    BOOST_TEST(node.table().revision() == 140U);
     BOOST_TEST(!has(node, brief));
 }
 
--- a/test/support/ReplicaGroup.cpp
+++ b/test/support/ReplicaGroup.cpp
@@ -213,7 +213,7 @@
     if (replica.age(m_now) == core::Duration::max())
         return;
     // The first change that the copy does not have bounds how fresh it can be.
-    const auto missed = m_changedAt.upper_bound(replica.table().at());
+    const auto missed = m_changedAt.upper_bound(replica.table().revision());
     if (missed != m_changedAt.end())
         m_overstated = std::max(m_overstated, m_now - replica.age(m_now) - missed->second);
 }
@@ -292,7 +292,7 @@
 {
     const replication::ItemTable& table = m_nodes[index].replica->table();
     // What the store changes later is newer than the copy; an unchanged one is as complete as it was.
-    const std::pair               checked{table.at(), table.sequence()};
+    const std::pair               checked{table.revision(), table.sequence()};
     if (std::exchange(m_nodes[index].checked, checked) == checked)
         return;
     std::map<std::string, std::uint64_t> held;
@@ -301,15 +301,15 @@
     for (const auto& [key, changes] : m_history)
     {
         const auto next = std::find_if(changes.begin(), changes.end(),
-                                       [&](const Item& change) { return change.revision > table.at(); });
+                                       [&](const Item& change) { return change.revision > table.revision(); });
         if (next == changes.begin() || !m_incomplete.empty())
             continue;
         const Item& last = *std::prev(next);
         const auto  found = held.find(key);
         const bool  lacks = found == held.end() ? !last.gone && next == changes.end() : found->second < last.revision;
         if (lacks)
-            m_incomplete = "node " + std::to_string(index) + " as of " + std::to_string(table.at()) + " has " + key +
-                           " of " + (found == held.end() ? "nothing" : std::to_string(found->second)) +
+            m_incomplete = "node " + std::to_string(index) + " as of " + std::to_string(table.revision()) + " has " +
+                           key + " of " + (found == held.end() ? "nothing" : std::to_string(found->second)) +
                            ", changed at " + std::to_string(last.revision) + (last.gone ? " (removed)" : "");
     }
 }
@@ -573,7 +573,7 @@
     cost = messageMs;
     if (update != nullptr)
     {
-        const auto&  whole = update->update.whole;
+        const auto&  whole = update->update.sharedItems;
         const double items = sizeOf(update->update.items) + (whole ? sizeOf(*whole) : 0);
         bytes += items * packedShare + static_cast<double>(update->update.nodes.size()) * nodeBytes;
         // A whole copy is packed once for all who need it.
@@ -597,7 +597,7 @@
     {
         std::optional<core::Timestamp> asked;
         core::Duration                 lag{};
-        if (read->how == replication::Reading::Latest)
+        if (read->how == replication::ReadMode::Latest)
             asked = m_now;
         else
             lag = core::Duration(m_random.below(static_cast<std::uint64_t>(oldest.count())));
@@ -693,7 +693,8 @@
             return;
         const auto far = end->second;
         if (update != nullptr && index % m_dataCentres != far.first % m_dataCentres)
-            m_itemsAcross += update->update.whole ? update->update.whole->size() : update->update.items.size();
+            m_itemsAcross +=
+                update->update.sharedItems ? update->update.sharedItems->size() : update->update.items.size();
         const std::uint64_t farLife = m_nodes[far.first].life;
         const auto          message = action;
         core::Timestamp     arrives = m_now + way;
