--- a/include/sailpath/replication/Bootstrap.hpp
+++ b/include/sailpath/replication/Bootstrap.hpp
@@ -15,83 +15,94 @@
 namespace sailpath::replication
 {
 ////////////////////////////////////////////////////////////
-/// \brief Constants of a start
+/// \brief Time limits and counts of a node's bootstrap
 ////////////////////////////////////////////////////////////
 struct BootstrapSettings
 {
     core::Duration linkTimeout{
-        std::chrono::milliseconds{60}}; //!< For a link to come up; a VM still without power says nothing
+        std::chrono::milliseconds{60}}; //!< Shortest connect timeout; a VM without power does not answer
     core::Duration retryAfter{
-        std::chrono::milliseconds{20}}; //!< A node that could not be reached is tried again; doubles twice
+        std::chrono::milliseconds{20}}; //!< Delay of the first retry of an unreachable node; doubles twice
     core::Duration extraRelayAfter{
-        std::chrono::milliseconds{120}}; //!< Without a copy for so long, follow one relay more
+        std::chrono::milliseconds{120}}; //!< Time without a copy after which one more relay is followed
     core::Duration storeReadAfter{
-        std::chrono::milliseconds{600}}; //!< From the start, until the store is asked in earnest
-    core::Duration relayUpExtension{
-        std::chrono::milliseconds{200}}; //!< So much later while a relay's link is up; it serves 25 others beside
+        std::chrono::milliseconds{600}}; //!< From the start to the earliest regular read of the store
+    core::Duration relayUpExtension{std::chrono::milliseconds{
+        200}}; //!< Added to that delay while a link to a relay is up, as the relay also serves 25 other nodes
     core::Duration storeReadSpread{
-        std::chrono::milliseconds{700}}; //!< Over which nodes that ask in earnest do so, at random
+        std::chrono::milliseconds{700}}; //!< Range of the random delay (jitter) of the regular read
     core::Duration earlyReadAfter{std::chrono::milliseconds{
-        20}}; //!< From the start without a link: seeds may get power last, so the store is tried
+        20}}; //!< From the start to the early read, if no link is up: seeds may get power last
     core::Duration earlyReadTimeout{
-        std::chrono::milliseconds{40}}; //!< With that reading; 17 nodes take 18 ms, and 100 ms by 473 held up the seeds
-    core::Duration seedConnectWait{std::chrono::milliseconds{40}}; //!< From the start, for a seed to reach another seed
+        std::chrono::milliseconds{40}}; //!< For the early read: 17 nodes take 18 ms; 100 ms by 473 nodes delayed seeds
+    core::Duration seedConnectWait{
+        std::chrono::milliseconds{40}}; //!< From the start, time for a seed to connect to another seed
     core::Duration seedAnswerWait{std::chrono::milliseconds{
-        150}}; //!< From the start, for a seed that it reached to send a copy or that it has none
-    core::Duration progressWindow{
-        std::chrono::milliseconds{150}}; //!< Bytes of a copy came so lately: it is on its way, the store is not asked
-    core::Duration maxStoreReadDelay{std::chrono::seconds{2}}; //!< From the start; the store is asked in any case then
-    unsigned       maxRelays{3};                               //!< Relays followed at once
+        150}}; //!< From the start, time for a connected seed to send a copy or to report that it has none
+    core::Duration progressWindow{std::chrono::milliseconds{
+        150}}; //!< If bytes of a copy arrived within this time, the copy is in transit and the store is not read
+    core::Duration maxStoreReadDelay{
+        std::chrono::seconds{2}}; //!< From the start; from this time on the store is read in any case
+    unsigned maxRelays{3};        //!< Relays followed at the same time
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief How a node that has no copy of the store yet comes by its first one
+/// \brief Decides how a node without a copy of the store gets its first one
 ///
 /// Load pattern: all nodes of a fleet get power within a few tenths of a
-/// second and know nobody but their seeds. When each read the store, 473 answers
-/// of 0.42 MB went through its one link: 1.4 s and more from start to ready. By
-/// relays it is 0.39 s of that same load, whose seeds get power last.
-/// So seeds introduce nodes to each other (see `BootstrapRelays`): they name a few
-/// strong nodes of each data centre as relays. Only seeds and relays read the
-/// store, unless a seed has a copy for them; the others follow relays and get it
-/// packed. A node that starts alone gets it from its seed.
+/// second and know only the addresses of their seeds. If each node reads the
+/// store, 473 answers of 0.42 MB pass the store's single link, and nodes are
+/// ready 1.4 s or more after their start. With relays the same load takes
+/// 0.39 s, even when the seeds get power last.
 ///
-/// Seeds may also get power last. Meanwhile each node tries a cheap reading for
-/// a short time: a fleet of 17 is ready in 56 ms by it, and in 223 ms without;
-/// one of hundreds gives up before the store's link is taken for long.
+/// Seeds therefore refer new nodes to relays (see `BootstrapRelays`), a few
+/// strong nodes of each data centre. Only seeds and relays read the store,
+/// and only if no seed has a copy for them; all other nodes follow relays and
+/// receive the copy compressed. A node that starts alone gets the copy from a
+/// seed.
 ///
-/// Limits: whoever has heard nothing in the time that its own reading would
-/// take in a crowd asks the store, spread at random so that a fleet whose
-/// seeds are all gone does not come at once. A relay that stays silent delays
-/// its followers by `extraRelayAfter`, then they follow another beside it.
+/// Because seeds may get power last, each node without a link also tries one
+/// cheap early read of the store with a short timeout. It makes a fleet of
+/// 17 nodes ready in 56 ms instead of 223 ms; hundreds of nodes give up
+/// before they occupy the store's link for long.
+///
+/// Limits: a node that receives nothing for as long as a read by the whole
+/// fleet would take reads the store itself. A random delay keeps a fleet
+/// whose seeds are all down from reading at the same time. A silent relay
+/// delays its followers by `extraRelayAfter`; after that they follow a second
+/// relay too.
 ////////////////////////////////////////////////////////////
 class Bootstrap
 {
 public:
     Bootstrap(NodeAddress self, std::vector<std::string> seeds, core::Timestamp startedAt, core::Random& random);
 
-    void setRelays(std::span<const NodeAddress> relays, core::Timestamp now); //!< A seed named the relays
-    void peerHasNoCopy();                                                     //!< Some node said that it has no copy
+    void setRelays(std::span<const NodeAddress> relays, core::Timestamp now); //!< Replaces the relays, as a seed sent
+    void peerHasNoCopy();                                                     //!< Records that a peer has no copy
     void peerStoreFailed(core::Timestamp now,
-                         core::Random&   random); //!< A node without a copy said that the store failed it
-    void linkUp(const std::string& address, core::Timestamp now);   //!< A link is up
-    void linkDown(const std::string& address, core::Timestamp now); //!< A link did not come up, or ended
-    void updateProgressed(core::Timestamp now);                     //!< A part of an update came
+                         core::Random&   random); //!< Records that the store failed a peer without a copy
+    void linkUp(const std::string& address, core::Timestamp now);   //!< Records that a link was opened
+    void linkDown(const std::string& address, core::Timestamp now); //!< Records that a link failed to open or closed
+    void updateProgressed(core::Timestamp now);                     //!< Records that a part of an update arrived
 
-    [[nodiscard]] bool           isRelay() const;                          //!< This node is to hand on first copies
-    [[nodiscard]] core::Duration linkTimeout(core::Timestamp since) const; //!< For a link begun then to come up
-    [[nodiscard]] std::vector<std::string> upstreamsToFollow(core::Timestamp now) const; //!< Nodes to follow
-    [[nodiscard]] bool                     shouldReadStore(core::Timestamp now) const; //!< The store is to be asked now
-    [[nodiscard]] bool shouldReadEarly(core::Timestamp now) const;     //!< A short, cheap reading is worth trying
-    [[nodiscard]] core::Timestamp beginEarlyRead(core::Timestamp now); //!< It begins; when it is to be given up
-    [[nodiscard]] core::Timestamp nextDue(core::Timestamp now) const;  //!< When that may change
+    [[nodiscard]] bool isRelay() const; //!< Whether this node serves first copies to other nodes
+    [[nodiscard]] core::Duration
+    linkTimeout(core::Timestamp since) const; //!< Returns the connect timeout of a link that is being opened since then
+    [[nodiscard]] std::vector<std::string>
+                       upstreamsToFollow(core::Timestamp now) const; //!< Lists the seeds and relays to follow
+    [[nodiscard]] bool shouldReadStore(core::Timestamp now) const;   //!< Whether a regular read of the store is due
+    [[nodiscard]] bool shouldReadEarly(core::Timestamp now) const;   //!< Whether the early read is due
+    [[nodiscard]] core::Timestamp
+    beginEarlyRead(core::Timestamp now); //!< Records that the early read begins; returns the time at which it times out
+    [[nodiscard]] core::Timestamp
+    nextDue(core::Timestamp now) const; //!< Returns the next time at which one of these decisions may change
 
 private:
-    /// \brief A node that could not be reached
+    /// \brief Failed attempts to connect to a node
     struct Failure
     {
-        unsigned        count{0};  //!< In a row
-        core::Timestamp retryAt{}; //!< Not tried again before
+        unsigned        count{0};  //!< Consecutive failures
+        core::Timestamp retryAt{}; //!< Earliest time of the next attempt
     };
 
     [[nodiscard]] std::vector<std::string> seedsToFollow(core::Timestamp now) const;
@@ -100,21 +111,21 @@
     [[nodiscard]] bool                     mayTry(const std::string& address, core::Timestamp now) const;
     [[nodiscard]] std::size_t              followLimit(core::Timestamp since, core::Timestamp now) const;
 
-    BootstrapSettings              m_settings;                //!< Constants
+    BootstrapSettings              m_settings;                //!< Time limits and counts
     NodeAddress                    m_self;                    //!< This node
-    std::vector<std::string>       m_seeds;                   //!< Others only, in this node's order
-    bool                           m_isSeed{false};           //!< Others know this node from their start
-    core::Timestamp                m_startedAt;               //!< Start
-    core::Timestamp                m_storeReadAt;             //!< The store is asked in earnest
-    core::Timestamp                m_progressAt{};            //!< A part of an update came last
-    bool                           m_isRelay{false};          //!< It was named
-    bool                           m_earlyReadStarted{false}; //!< A short reading was begun
-    bool                           m_peerHasNoCopy{false};    //!< Somebody else has no copy either
-    std::vector<NodeAddress>       m_relays;                  //!< Relays, as named last
-    core::Timestamp                m_relaysSince{};           //!< Named first
+    std::vector<std::string>       m_seeds;                   //!< Addresses of other seeds, in this node's order
+    bool                           m_isSeed{false};           //!< This node is one of the configured seeds
+    core::Timestamp                m_startedAt;               //!< Start of this node
+    core::Timestamp                m_storeReadAt;             //!< Earliest regular read of the store
+    core::Timestamp                m_progressAt{};            //!< Last arrival of a part of an update
+    bool                           m_isRelay{false};          //!< This node is a seed or was chosen as a relay
+    bool                           m_earlyReadStarted{false}; //!< The early read was begun
+    bool                           m_peerHasNoCopy{false};    //!< At least one peer has no copy either
+    std::vector<NodeAddress>       m_relays;                  //!< Relays last sent by a seed, without this node
+    core::Timestamp                m_relaysSince{};           //!< Time at which the first relays were received
     std::map<std::string, Failure> m_failures;                //!< By address
-    std::optional<core::Timestamp> m_seedLinkSince;           //!< A seed was reached first
-    std::set<std::string>          m_linksUp;                 //!< Links to these are up
+    std::optional<core::Timestamp> m_seedLinkSince;           //!< Time at which the first link to a seed opened
+    std::set<std::string>          m_linksUp;                 //!< Addresses with an open link
 };
 
 } // namespace sailpath::replication
--- a/include/sailpath/replication/Item.hpp
+++ b/include/sailpath/replication/Item.hpp
@@ -6,14 +6,14 @@
 namespace sailpath::replication
 {
 ////////////////////////////////////////////////////////////
-/// \brief One key of the store as of its last change
+/// \brief A key of the store with its value, or the removal of a key
 ////////////////////////////////////////////////////////////
 struct Item
 {
-    std::string   key;         //!< Whole key
-    std::string   value;       //!< Bytes; empty when gone
-    std::uint64_t revision{0}; //!< The store's revision of the change
-    bool          gone{false}; //!< The key was removed
+    std::string   key;         //!< Full key, with its prefix
+    std::string   value;       //!< Bytes; empty for a removal
+    std::uint64_t revision{0}; //!< Store revision of the last change
+    bool          gone{false}; //!< The key was removed (a tombstone)
 
     friend bool operator==(const Item&, const Item&) = default;
 };
--- a/include/sailpath/replication/ItemSource.hpp
+++ b/include/sailpath/replication/ItemSource.hpp
@@ -10,53 +10,54 @@
 namespace sailpath::replication
 {
 ////////////////////////////////////////////////////////////
-/// \brief How a call of the store ended
+/// \brief Outcome of a read or watch call to the store
 ////////////////////////////////////////////////////////////
 enum class ReadStatus
 {
-    Ok,          //!< It was answered
-    HistoryLost, //!< The changes after that revision are not known any more
-    Failed       //!< It was refused, or not answered in time
+    Ok,          //!< The store answered with items
+    HistoryLost, //!< The store no longer has the changes after the given revision
+    Failed       //!< The store refused the call or did not answer in time
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief How a call that writes ended
+/// \brief Outcome of a write call to the store
 ////////////////////////////////////////////////////////////
 enum class WriteStatus
 {
-    Done,     //!< It was written
-    Conflict, //!< The item is not as was expected
-    Unknown   //!< It was refused, or it may still be done
+    Done,     //!< The write was applied
+    Conflict, //!< The item's revision or existence is not the expected one; nothing was written
+    Unknown   //!< The call failed; the write may still be applied
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief How a reading of all items may be served
+/// \brief Consistency that a read of all items asks for
 ////////////////////////////////////////////////////////////
 enum class ReadMode
 {
-    Latest,    //!< As of the time of the call at the earliest
-    MayBeStale //!< As of seconds ago perhaps; cheaper
+    Latest,    //!< State of the store at the time of the call or later
+    MayBeStale //!< State that may be seconds old; cheaper for the store
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What a call of the store brought
+/// \brief Result of a read or watch call to the store
 ////////////////////////////////////////////////////////////
 struct ReadResult
 {
-    ReadStatus        status{ReadStatus::Failed}; //!< How it ended
-    std::vector<Item> items;                      //!< All items, or changes
-    std::uint64_t     at{0};                      //!< The store's revision; of a reading, the oldest of its parts
-    std::uint64_t     upTo{0};                    //!< Of a reading: revision that no part is newer than
-    bool              snapshot{false};            //!< A reading, of one moment and of the time of the call at least
-    std::string       error;                      //!< For the log, when it failed
-    std::uint64_t     bytes{0};                   //!< Of the answers' bodies
+    ReadStatus        status{ReadStatus::Failed}; //!< Outcome
+    std::vector<Item> items;                      //!< All items (read) or changes (watch)
+    std::uint64_t     at{0};                      //!< Store revision; for a read, the oldest revision of its pages
+    std::uint64_t     upTo{0};                    //!< For a read: revision that no page is newer than
+    bool              snapshot{false}; //!< For a read: all pages are of one revision, not older than the call
+    std::string       error;           //!< Reason of a failure, for the log
+    std::uint64_t     bytes{0};        //!< Total size of the response bodies
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Port for the store that holds what operators and servers say
+/// \brief Port to the store that holds the items of operators and backend servers
 ///
-/// Answers come on the loop that the calls are made from, never within the
-/// call itself. One call that reads is under way at a time, and one that writes.
+/// Callbacks run on the event loop that the calls are made from, never within
+/// the call itself. At most one read or watch and one write are in progress at
+/// a time.
 ////////////////////////////////////////////////////////////
 class ItemSource
 {
@@ -66,20 +67,20 @@
 
     virtual ~ItemSource() = default;
 
-    virtual void read(ReadMode mode, ReadCallback callback) = 0; //!< All items
+    virtual void read(ReadMode mode, ReadCallback callback) = 0; //!< Reads all items
 
     virtual void watch(std::uint64_t after, core::Duration wait,
-                       ReadCallback callback) = 0; //!< Changes after a revision
+                       ReadCallback callback) = 0; //!< Waits for changes after a revision
 
     virtual void create(const std::string& key, const std::string& value,
-                        WriteCallback callback) = 0; //!< If it is absent
+                        WriteCallback callback) = 0; //!< Writes a key that must not exist
 
     virtual void replace(const Item&   item,
-                         WriteCallback callback) = 0; //!< If it still has the revision; `gone` removes it
+                         WriteCallback callback) = 0; //!< Writes or removes (`gone`) a key that must have the revision
 
-    virtual void cancelRead() = 0; //!< The reading call under way is not answered any more, and its connection ends
+    virtual void cancelRead() = 0; //!< Cancels the read or watch in progress without a callback; closes its connection
 
-    [[nodiscard]] virtual std::uint64_t callCount() const = 0; //!< Calls made since the start
+    [[nodiscard]] virtual std::uint64_t callCount() const = 0; //!< Returns the number of calls since the start
 };
 
 } // namespace sailpath::replication
--- a/include/sailpath/replication/ItemTable.hpp
+++ b/include/sailpath/replication/ItemTable.hpp
@@ -14,126 +14,128 @@
 
 namespace sailpath::replication
 {
-constexpr std::size_t largeValueSize = 4096; //!< Bytes from which a value is told as the difference from an earlier one
+constexpr std::size_t largeValueSize = 4096; //!< Bytes; values of this size or more are sent as a delta
 
 ////////////////////////////////////////////////////////////
-/// \brief Items of another copy whose last change lies after a revision
+/// \brief Changes that another copy sends, all later than a revision
 ////////////////////////////////////////////////////////////
 struct PeerChanges
 {
-    std::uint64_t         after{0};      //!< All of that copy's items that changed after this revision are here
-    std::uint64_t         at{0};         //!< Revision that the other copy is complete as of
-    bool                  gapped{false}; //!< Keys may have come and gone in between without a trace
-    std::span<const Item> items;         //!< Items, and removals that the other copy knows of
+    std::uint64_t         after{0};      //!< `items` lists all items of the other copy that changed after this revision
+    std::uint64_t         at{0};         //!< Revision as of which the other copy is complete
+    bool                  gapped{false}; //!< Keys may have been created and removed in between without being listed
+    std::span<const Item> items;         //!< Changed items, and the removals that the other copy knows
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief A node's copy of the store's items; each key only moves to higher revisions
+/// \brief A node's copy of the store's items; the revision of a key never decreases
 ///
-/// The copy is complete as of a revision, `at`: it holds what the store held
-/// then, as written then or later. Hence a source that is older has nothing to
-/// add, and a newer one that leaves a key out says that the key is gone.
+/// The copy is complete as of its `revision()`: it holds every item that the
+/// store held at that revision, with the value of that revision or a later one. A
+/// source with an older revision therefore adds nothing, and a key that a newer
+/// source does not list was removed.
 ///
-/// A reading of all items skips the changes between: a key that came and went
-/// there leaves no trace. Such a gap is remembered, so that a copy that knows
-/// a part of it is told all that changed since its beginning. A reading that is
-/// no snapshot may also lack keys that were removed after its revision; its gap
-/// stays open until all that happened before it was answered is taken.
+/// A read of all items skips the changes since the previous revision: a key
+/// that was created and removed meanwhile leaves no trace. The table records
+/// this range as a gap. A copy whose revision lies within a gap is sent all
+/// changes since the beginning of the gap. A non-atomic read may also lack keys
+/// that were removed after its revision; its gap stays open until the table has
+/// reached the highest revision that the read may contain.
 ////////////////////////////////////////////////////////////
 class ItemTable
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Take the changes after `at` that the store told
+    /// \brief Apply changes after `revision()` that the store sent
     ///
     /// \param items   Changes, in any order
-    /// \param at      Revision that they bring the table to
-    /// \param changed Receives the items that changed here
+    /// \param at      Revision of the table once they are applied
+    /// \param changed Receives the items that changed in this table
     ////////////////////////////////////////////////////////////
     void apply(std::span<const Item> items, std::uint64_t at, std::vector<Item>& changed);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Take what another copy tells
+    /// \brief Apply changes that another copy sent
     ///
-    /// Items that changed after `changes.after` here and are not among them are gone.
+    /// Items of this table that changed after `changes.after` and are not listed are removed.
     ///
-    /// \param changes What it tells; `after` is not higher than this copy's `at`
-    /// \param changed Receives the items that changed here
+    /// \param changes Changes; `after` is not higher than this table's `revision()`
+    /// \param changed Receives the items that changed in this table
     ////////////////////////////////////////////////////////////
     void apply(const PeerChanges& changes, std::vector<Item>& changed);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Take all items as they stood at a revision
+    /// \brief Apply a read that returned all items as of a single revision
     ////////////////////////////////////////////////////////////
     void applySnapshot(std::span<const Item> items, std::uint64_t at, std::vector<Item>& changed);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Take all items as they stood at a revision or later, not all at the same
+    /// \brief Apply a read of all items whose parts may be of different revisions
     ///
     /// \param items   Items
-    /// \param at      Revision that none of them is older than
-    /// \param upTo    Revision that none is newer than; the copy is exact again when it is of that
-    /// \param changed Receives the items that changed here
+    /// \param at      Revision that no part is older than
+    /// \param upTo    Revision that no part is newer than; once the table reaches it, the table is exact again
+    /// \param changed Receives the items that changed in this table
     ////////////////////////////////////////////////////////////
     void applyNonAtomicRead(std::span<const Item> items, std::uint64_t at, std::uint64_t upTo,
                             std::vector<Item>& changed);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Items that changed after a revision, known removals included
+    /// \brief Return the items that changed after a revision, including known removals
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::vector<Item> changesAfter(std::uint64_t revision) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Items that changed here since a moment though they are not newer than a revision
+    /// \brief Return the items that changed in this table since a point in its sequence, but are of older revisions
     ///
-    /// A reading of several moments may show removals that another copy tells of late.
+    /// After a non-atomic read, another copy may report removals whose revisions the table has passed already.
     ///
-    /// \param sequence Value of `sequence` at that moment
+    /// \param sequence Value of `sequence()` at that point
     /// \param revision Items with higher revisions are left out
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::vector<Item> lateChanges(std::uint64_t sequence, std::uint64_t revision) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief All items that exist
+    /// \brief Return all items that exist
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::vector<Item> all() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Revision after which another copy has to be told all changes, to learn all removals
+    /// \brief Return the revision after which another copy has to be sent all changes in order to learn all removals
     ///
-    /// \param revision Revision that the other copy is complete as of
+    /// \param revision Revision as of which the other copy is complete
     ///
-    /// \return That revision, or a lower one; 0 when it needs the whole picture
+    /// \return That revision or a lower one; 0 if the other copy needs all items
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::uint64_t resendAfter(std::uint64_t revision) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Whether keys may have come and gone after a revision without a trace here
+    /// \brief Return whether keys may have been created and removed after a revision without a trace in this table
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool hasGapAfter(std::uint64_t revision) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief A large value as another copy had it
+    /// \brief Return a large value as another copy has it
     ///
-    /// \param key Its key
-    /// \param at  Revision that the other copy is complete as of
+    /// \param key Key of the item
+    /// \param at  Revision as of which the other copy is complete
     ///
-    /// \return The item as of its last change up to then; null when that is not kept
+    /// \return The item as of its last change up to that revision; null if it is no longer stored
     ////////////////////////////////////////////////////////////
     [[nodiscard]] const Item* itemAsOf(std::string_view key, std::uint64_t at) const;
 
-    [[nodiscard]] std::uint64_t examinedItems() const;  //!< Counts items looked at for what changed after a revision
-    [[nodiscard]] std::uint64_t revision() const;       //!< Revision that the table is of; 0 before the first
-    [[nodiscard]] bool          isExact() const;        //!< No gap is open
-    [[nodiscard]] std::uint64_t sequence() const;       //!< Counts changes of items here
-    [[nodiscard]] std::uint64_t oldestSequence() const; //!< `lateChanges` tells all since then
+    [[nodiscard]] std::uint64_t examinedItems() const;  //!< Returns how many items searches for changes have visited
+    [[nodiscard]] std::uint64_t revision() const;       //!< Revision as of which the table is complete; 0 if never
+    [[nodiscard]] bool          isExact() const;        //!< Whether no gap is open
+    [[nodiscard]] std::uint64_t sequence() const;       //!< Returns the number of item changes in this table so far
+    [[nodiscard]] std::uint64_t oldestSequence() const; //!< Oldest sequence since which `lateChanges` is complete
 
 private:
-    /// \brief Changes from one revision to another were skipped
+    /// \brief Range of revisions whose changes were skipped
     struct Gap
     {
-        std::uint64_t from; //!< The copy was complete as of this revision
-        std::uint64_t to;   //!< And again as of this one
+        std::uint64_t from; //!< Last revision as of which the table was complete before the gap
+        std::uint64_t to;   //!< First revision as of which the table was complete again
     };
 
     void               applyAll(std::span<const Item> items, std::uint64_t at, std::vector<Item>& changed);
@@ -147,27 +149,27 @@
     void indexChange(const Item& previous, const Item& item);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Call for each item whose last change lies after a revision, removals included, in no order
+    /// \brief Call a function for each item that changed after a revision, including removals, in no order
     ///
-    /// \param visit Called with the item
+    /// \param revision Items that changed after it are visited
+    /// \param visit    Function that is called with the item
     ////////////////////////////////////////////////////////////
     template <typename Visit>
     void forEachChangedAfter(std::uint64_t revision, Visit visit) const;
 
-    std::map<std::string, Item, std::less<>>  m_items;            //!< By key; removals are kept for a while
-    std::uint64_t                             m_revision{0};      //!< Revision that the table is of
-    std::uint64_t                             m_prunedUpTo{0};    //!< Highest revision of a removal that was forgotten
-    std::multimap<std::uint64_t, std::string> m_removals;         //!< Keys of removals kept, by revision
+    std::map<std::string, Item, std::less<>>  m_items;            //!< By key; includes recent removals
+    std::uint64_t                             m_revision{0};      //!< Revision as of which the table is complete
+    std::uint64_t                             m_prunedUpTo{0};    //!< Highest revision of a removal that was dropped
+    std::multimap<std::uint64_t, std::string> m_removals;         //!< Keys of stored removals, by revision
     std::multimap<std::uint64_t, std::string> m_byRevision;       //!< Keys by the revision of their last change
-    std::uint64_t                             m_indexedAfter{0};  //!< Items with higher revisions are in `m_byRevision`
-    mutable std::uint64_t                     m_examinedItems{0}; //!< Items looked at for what changed
-    std::map<std::string, std::deque<Item>, std::less<>>
-                            m_previousValues;     //!< Earlier large values by key, newest first
-    std::deque<std::string> m_changedKeys;        //!< Of the last changes here, newest last
-    std::uint64_t           m_sequence{0};        //!< Changes here so far
-    std::vector<Gap>        m_gaps;               //!< In order
-    bool                    m_lastGapOpen{false}; //!< The last gap goes on
-    std::uint64_t           m_gapOpenUpTo{0};     //!< Until the copy is of this revision
+    std::uint64_t                             m_indexedAfter{0};  //!< Items of higher revisions are in `m_byRevision`
+    mutable std::uint64_t                     m_examinedItems{0}; //!< Items visited in searches for changes
+    std::map<std::string, std::deque<Item>, std::less<>> m_previousValues; //!< Earlier large values, newest first
+    std::deque<std::string> m_changedKeys;        //!< Keys of the last changes in this table, newest last
+    std::uint64_t           m_sequence{0};        //!< Item changes in this table so far
+    std::vector<Gap>        m_gaps;               //!< In ascending order
+    bool                    m_lastGapOpen{false}; //!< The last gap has not ended yet
+    std::uint64_t           m_gapOpenUpTo{0};     //!< Revision at which the open gap ends
 };
 
 } // namespace sailpath::replication
--- a/include/sailpath/replication/Message.hpp
+++ b/include/sailpath/replication/Message.hpp
@@ -12,46 +12,48 @@
 namespace sailpath::replication
 {
 ////////////////////////////////////////////////////////////
-/// \brief A node as others know it
+/// \brief Address and capacity of a node, as sent to other nodes
 ////////////////////////////////////////////////////////////
 struct NodeAddress
 {
-    std::string   address;     //!< `IP:PORT` where peers connect
-    std::string   dataCentre;  //!< Where it runs
-    std::uint32_t ageMs{0};    //!< Time since it was heard of at first hand
-    std::uint32_t capacity{0}; //!< How well it can serve others; doubles with each step
+    std::string   address;     //!< `IP:PORT` on which the node accepts connections of its peers
+    std::string   dataCentre;  //!< Data centre of the node
+    std::uint32_t ageMs{0};    //!< Time in ms since any node last heard from it directly
+    std::uint32_t capacity{0}; //!< Capacity to serve other nodes; each step stands for twice as much
 
     friend bool operator==(const NodeAddress&, const NodeAddress&) = default;
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief A server ended while it ran a request
+/// \brief A server instance that ended while it ran a request
 ////////////////////////////////////////////////////////////
 struct EndRecord
 {
-    std::uint32_t     server{0}; //!< Hash of the server's life
-    core::ContentHash content;   //!< Of the request
-    std::uint32_t     caller{0}; //!< Hash of its caller's address
-    std::uint32_t     ranMs{0};  //!< From its sending to the server's end
-    std::uint32_t     agoMs{0};  //!< From the server's end to the report
+    std::uint32_t     server{0}; //!< Hash of the instance
+    core::ContentHash content;   //!< Content hash of the request
+    std::uint32_t     caller{0}; //!< Hash of the caller's address
+    std::uint32_t     ranMs{0};  //!< Time in ms from sending the request to the end of the instance
+    std::uint32_t     agoMs{0};  //!< Time in ms from the end of the instance to the report
 
     friend bool operator==(const EndRecord&, const EndRecord&) = default;
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What a limited server takes, as a node heard it last, and what the node sent there since it told last
+/// \brief Rate limit of a server instance or quota of a workspace, with the requests that the reporting node sent
 ///
-/// Or the quota of a workspace, and what the node sent for it.
+/// The limit is the latest that the node knows; the requests are those since its previous report.
 ////////////////////////////////////////////////////////////
 struct LimitRecord
 {
-    std::uint32_t server{0};    //!< Hash of the server's life, or of the workspace's name
-    double        perSecond{0}; //!< Requests from all nodes together; infinite for everything
-    std::uint32_t agoMs{0};     //!< From the server's word to the report
-    double        sent{0};      //!< Requests
-    double        doublings{0}; //!< How open the server is to the node: binary logarithm of a request's chance
-
-    [[nodiscard]] bool isNearLimit() const //!< Little is saved up, so that others have to hear at once
+    std::uint32_t server{0};    //!< Hash of the instance, or of the workspace's name
+    double        perSecond{0}; //!< Requests per second from all nodes together; infinite if not limited
+    std::uint32_t agoMs{0};     //!< Time in ms from the server's announcement of the limit to the report
+    double        sent{0};      //!< Requests that the node sent since its previous report
+    double        doublings{0}; //!< Binary logarithm of the probability that the node sends a request to the server;
+                                //!< above 0 with capacity in reserve
+
+    [[nodiscard]] bool
+    isNearLimit() const //!< Whether little is in reserve, so that other nodes need the report at once
     {
         constexpr double nearLimitDoublings = 1;
         return doublings <= nearLimitDoublings;
@@ -61,27 +63,27 @@
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What a node saw of servers: which failed requests that they had taken, which ended, which are limited
+/// \brief A node's observations of server instances: failures, ends while requests ran, limits
 ///
-/// Travels over all links, each report once over each (see `ServerGossip`).
+/// Sent over all links, each report once per link (see `ServerGossip`).
 ////////////////////////////////////////////////////////////
 struct ServerReport
 {
-    std::uint32_t                  origin{0}; //!< Hash of the node's address
-    std::uint32_t                  number{0}; //!< Rises with each report of the node
-    std::vector<std::uint32_t>     servers;   //!< That failed: hashes of the servers' lives
-    std::vector<EndRecord>         ends{};    //!< Servers that ended, and what ran there
-    std::vector<core::ContentHash> served{};  //!< Requests that had been at such servers and were answered since
-    std::vector<LimitRecord>       limits{};  //!< Servers that take only so much
-
-    [[nodiscard]] bool isUrgent() const //!< It is not to wait for the next regular message
+    std::uint32_t                  origin{0}; //!< Hash of the address of the reporting node
+    std::uint32_t                  number{0}; //!< Number of the report; increases with each report of the node
+    std::vector<std::uint32_t>     servers;   //!< Hashes of instances that failed a request
+    std::vector<EndRecord>         ends{};    //!< Instances that ended, with the requests that ran there
+    std::vector<core::ContentHash> served{};  //!< Requests from such instances that were answered afterwards
+    std::vector<LimitRecord>       limits{};  //!< Limits of instances and quotas of workspaces
+
+    [[nodiscard]] bool isUrgent() const //!< Whether the report is sent without delay
     {
         const bool nearLimit =
             std::any_of(limits.begin(), limits.end(), [](const LimitRecord& limit) { return limit.isNearLimit(); });
         return !ends.empty() || !served.empty() || nearLimit;
     }
 
-    [[nodiscard]] bool hasLimits() const //!< It may wait for others, though not for the next regular message
+    [[nodiscard]] bool hasLimits() const //!< Whether it holds limits, which are batched but precede the next heartbeat
     {
         return !limits.empty();
     }
@@ -90,54 +92,56 @@
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What a node says first on a link that it opened: it wants updates
+/// \brief First message on a link, sent by the node that opened it to request updates
 ////////////////////////////////////////////////////////////
 struct Hello
 {
-    NodeAddress   self;         //!< Who it is
-    std::uint64_t at{0};        //!< Revision that it has
-    bool          packs{false}; //!< It understands `Update::whole`
+    NodeAddress   self;         //!< Node that sends the message
+    std::uint64_t at{0};        //!< Revision of its copy; 0 requests all items
+    bool          packs{false}; //!< The node accepts `Update::sharedItems`
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief A large item, told as its difference from an earlier value that the other side has
+/// \brief A large item, sent as the delta from an earlier value that the receiver has
 ////////////////////////////////////////////////////////////
 struct PackedItem
 {
-    std::string   key;         //!< Whole key
-    std::uint64_t revision{0}; //!< The store's revision of the change
+    std::string   key;         //!< Full key
+    std::uint64_t revision{0}; //!< Store revision of the change
     std::uint64_t base{0};     //!< Revision of the earlier value
-    std::string   packed;      //!< See `packValue`
+    std::string   packed;      //!< Delta; see `packValue`
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What a relay sends: changes since the last update, and how fresh its picture is
+/// \brief Message of a relay to a follower: changes since the last update, and the age of the relay's copy
 ////////////////////////////////////////////////////////////
 struct Update
 {
-    std::uint64_t             at{0};         //!< The store's revision that the picture is of
-    std::uint64_t             after{0};      //!< All that changed after this revision is told; 0 with the whole picture
-    std::uint32_t             ageMs{0};      //!< Time since the picture was known to be the store's
-    std::uint32_t             illAgeMs{0};   //!< Time since the store failed a call of the relay
-    std::uint64_t             sentMs{0};     //!< The relay's steady clock, for how long updates take on their way
-    bool                      full{false};   //!< All items; others do not exist as of `at`
-    bool                      gapped{false}; //!< Keys may have come and gone after `after` that nobody tells of
+    std::uint64_t             at{0};         //!< Revision of the relay's copy; 0 if the relay sends no items
+    std::uint64_t             after{0};      //!< All items that changed after this revision are listed; 0 with `full`
+    std::uint32_t             ageMs{0};      //!< Time in ms since the copy was known to match the store
+    std::uint32_t             illAgeMs{0};   //!< Time in ms since a call to the store last failed, as the relay knows
+    std::uint64_t             sentMs{0};     //!< Relay's steady clock in ms, to measure the delay of updates
+    bool                      full{false};   //!< All items are listed; any other item does not exist as of `at`
+    bool                      gapped{false}; //!< Keys may have been created and removed after `after` without a trace
     std::vector<Item>         items;         //!< Items as of `at` that changed after `after`, and known removals
-    std::vector<PackedItem>   packed;        //!< Of these items, the large ones
-    std::vector<NodeAddress>  nodes;         //!< Nodes known of; empty when left out; of a seed without a copy for its
-                                             //!< follower (`at` is 0): the relays to follow instead
-    std::vector<ServerReport> news;          //!< Heard since the last update
+    std::vector<PackedItem>   packed;        //!< Large items among these changes
+    std::vector<NodeAddress>  nodes;         //!< Known nodes, empty if left out; from a seed that sends no items to a
+                                             //!< follower without a copy (`at` is 0): relays to follow instead
+    std::vector<ServerReport> news;          //!< Reports received or made since the last update
     std::shared_ptr<const std::vector<Item>>
-        sharedItems; //!< With `full`: all items in place of `items`, one list for all
+        sharedItems; //!< With `full`: all items in place of `items`, in one list that all updates share
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What a relay tells its own relays: who follows it, as lists of nodes travel to followers only
+/// \brief Message of a relay to the relays that it follows
+///
+/// Lists of nodes are otherwise sent to followers only, so that a relay would not learn of nodes behind its followers.
 ////////////////////////////////////////////////////////////
 struct Report
 {
-    std::vector<NodeAddress>  nodes; //!< Followers; empty when left out
-    std::vector<ServerReport> news;  //!< Heard since the last report
+    std::vector<NodeAddress>  nodes; //!< Followers; empty if left out
+    std::vector<ServerReport> news;  //!< Reports received or made since the last `Report`
 };
 
 } // namespace sailpath::replication
--- a/include/sailpath/replication/ServerGossip.hpp
+++ b/include/sailpath/replication/ServerGossip.hpp
@@ -13,80 +13,87 @@
 namespace sailpath::replication
 {
 ////////////////////////////////////////////////////////////
-/// \brief Where a report came from
+/// \brief Link on which a report was received
 ////////////////////////////////////////////////////////////
 struct ReportSource
 {
-    std::uint64_t link{0};          //!< Number of the link; 0 for this node's own
-    bool          fromRelay{false}; //!< The far end is a relay of this node
+    std::uint64_t link{0};          //!< Number of the link; 0 for a report of this node
+    bool          fromRelay{false}; //!< The peer is a relay that this node follows
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What nodes see of servers, on its way through a node: failures, ends under requests, limits
+/// \brief Collects and forwards the nodes' reports on servers: failures, ends under requests, limits
 ///
 /// Load pattern: some servers fail a part of their requests while their health
-/// is good. With hundreds of nodes each meets a given server every 17 s or
-/// more, so what one learns alone comes too late; the fleet together sees the
-/// server fail twice within a second or two.
+/// checks pass. With hundreds of nodes, each node sends to a given server only
+/// every 17 s or more, so what a single node observes comes too late; the fleet
+/// as a whole sees the server fail twice within a second or two.
 ///
-/// A node tells one of its relays what it saw and what its followers told it,
-/// and its followers all that it hears; each report is taken once.
+/// A node sends its own reports and those of its followers to one of its
+/// relays, and all reports to its followers. Each report is accepted once.
 ///
-/// Servers that end under requests go out at once, as the same request may be
-/// on its way to the next. So does what is sent to servers that take only so
-/// much from all nodes together: the sum is kept by it (`balance::SharedLimit`).
+/// Ends of servers under requests are sent at once, as the same request may
+/// already be on its way to the next server. So are the requests sent to
+/// servers near a limit that all nodes share, because each node needs the sum
+/// to keep within the limit (`balance::SharedLimit`).
 ///
-/// Limits: one report a node and span, with at most so many servers; reports
-/// kept for a few seconds only, so that a node that was cut off tells no
-/// old news.
+/// Limits: one report per node and interval, with a bounded number of servers.
+/// Reports are kept for a few seconds only, so that a node that was
+/// disconnected does not forward outdated reports.
 ////////////////////////////////////////////////////////////
 class ServerGossip
 {
 public:
-    static constexpr std::chrono::milliseconds batchDelay{60}; //!< That limits which are not pressed wait for others
+    static constexpr std::chrono::milliseconds batchDelay{60}; //!< Delay in which limits that are not near are batched
 
     explicit ServerGossip(std::uint32_t self);
 
-    void recordFailure(std::uint32_t server);                    //!< This node saw it fail
-    void recordEnd(const EndRecord& record, core::Timestamp at); //!< This node saw a server end then
-    void recordServed(const core::ContentHash& content);         //!< This node passed on an answer to such a request
-    void receive(std::span<const ServerReport> reports, ReportSource source, core::Timestamp now); //!< A peer told them
+    void recordFailure(std::uint32_t server); //!< Records that a server failed a request of this node
+    void recordEnd(const EndRecord& record, core::Timestamp at); //!< Records that a server ended under a request
+    void recordServed(
+        const core::ContentHash& content); //!< Records that a request whose server had ended was answered after all
+    void receive(std::span<const ServerReport> reports, ReportSource source,
+                 core::Timestamp now); //!< Accepts the new ones among a peer's reports
     void recordLimit(const LimitRecord& record,
-                     core::Timestamp    at); //!< This node heard or sent that, the word as of then
-    void tick(core::Timestamp now);       //!< Makes a report of what was seen
+                     core::Timestamp    at); //!< Records a limit as announced at a time, and requests sent under it
+    void tick(core::Timestamp now); //!< Drops expired reports; makes a report of this node's records if one is due
 
-    [[nodiscard]] std::uint64_t                  reportCount() const;   //!< Count of all reports so far
-    [[nodiscard]] std::optional<core::Timestamp> nextReportDue() const; //!< When `tick` has an urgent report to make
-    [[nodiscard]] bool hasUrgentSince(std::uint64_t count) const;       //!< One of those after `count` is not to wait
-    [[nodiscard]] bool hasLimitsSince(std::uint64_t count) const;       //!< Or is to wait no longer than `batchDelay`
-    [[nodiscard]] std::vector<ServerReport>   reportsForFollower(std::uint64_t count,
-                                                                 std::uint64_t link) const; //!< After `count`
-    [[nodiscard]] std::optional<ServerReport> currentLimits(core::Timestamp now) const;   //!< For a follower that joins
-    [[nodiscard]] std::vector<ServerReport>   reportsForRelay(std::uint64_t count) const; //!< After `count`
-    [[nodiscard]] std::vector<ServerReport>   takeReceived(); //!< Of other nodes, not taken yet
+    [[nodiscard]] std::uint64_t reportCount() const; //!< Returns the number of all reports so far
+    [[nodiscard]] std::optional<core::Timestamp>
+    nextReportDue() const; //!< Returns when a report of ends, answers or limits is due; null if there are none
+    [[nodiscard]] bool hasUrgentSince(std::uint64_t count) const; //!< Whether a report after `count` is urgent
+    [[nodiscard]] bool hasLimitsSince(std::uint64_t count) const; //!< Whether a report after `count` holds limits
+    [[nodiscard]] std::vector<ServerReport>
+    reportsForFollower(std::uint64_t count,
+                       std::uint64_t link) const; //!< Returns reports after `count` that did not come on the link
+    [[nodiscard]] std::optional<ServerReport>
+    currentLimits(core::Timestamp now) const; //!< Returns all known limits for a new follower; null if there are none
+    [[nodiscard]] std::vector<ServerReport>
+    reportsForRelay(std::uint64_t count) const; //!< Returns reports after `count` that did not come from a relay
+    [[nodiscard]] std::vector<ServerReport> takeReceived(); //!< Returns other nodes' reports since the last call
 
 private:
     struct Entry
     {
         ServerReport    report;
         ReportSource    source;
-        core::Timestamp at; //!< When it came here
+        core::Timestamp at; //!< Time at which this node received or made the report
     };
 
-    /// \brief What this node saw, not reported yet
+    /// \brief Records of this node that are not reported yet
     struct Pending
     {
-        std::vector<std::uint32_t>                           servers; //!< That failed
-        std::vector<std::pair<EndRecord, core::Timestamp>>   ends;    //!< And when
-        std::vector<core::ContentHash>                       served;
-        std::vector<std::pair<LimitRecord, core::Timestamp>> limits; //!< One for each server, the word as of then
+        std::vector<std::uint32_t>                           servers; //!< Servers that failed a request
+        std::vector<std::pair<EndRecord, core::Timestamp>>   ends;    //!< Ends of servers with their times
+        std::vector<core::ContentHash>                       served;  //!< Requests answered after such an end
+        std::vector<std::pair<LimitRecord, core::Timestamp>> limits;  //!< One per server, with the time of the limit
     };
 
-    /// \brief The last word of a limited server that passed here
+    /// \brief Latest limit of a server that this node received or reported
     struct KnownLimit
     {
         LimitRecord     record;
-        core::Timestamp at; //!< When the server said so
+        core::Timestamp at; //!< Time at which the server announced the limit
     };
 
     void               rememberLimits(const ServerReport& report, core::Timestamp now);
@@ -94,15 +101,15 @@
     [[nodiscard]] bool isReportDue(core::Timestamp now) const;
 
     std::uint32_t                          m_self;            //!< Hash of this node's address
-    Pending                                m_pending;         //!< Since the last own report
-    core::Timestamp                        m_nextRegularAt{}; //!< Not before, unless it is urgent
-    core::Timestamp                        m_nextLimitsAt{};  //!< Not before
-    core::Timestamp                        m_nextUrgentAt{};  //!< Not before
-    std::deque<Entry>                      m_entries;         //!< Oldest first
-    std::uint64_t                          m_dropped{0};      //!< Reports forgotten
-    std::map<std::uint32_t, std::uint32_t> m_lastNumbers;     //!< Highest number heard, by origin
+    Pending                                m_pending;         //!< Records since this node's last report
+    core::Timestamp                        m_nextRegularAt{}; //!< Earliest next report of failures alone
+    core::Timestamp                        m_nextLimitsAt{};  //!< Earliest next report of limits that are not near
+    core::Timestamp                        m_nextUrgentAt{};  //!< Earliest next urgent report
+    std::deque<Entry>                      m_entries;         //!< Reports that are still forwarded, oldest first
+    std::uint64_t                          m_dropped{0};      //!< Number of reports dropped from `m_entries`
+    std::map<std::uint32_t, std::uint32_t> m_lastNumbers;     //!< Number of the last accepted report, by origin
     std::map<std::uint32_t, KnownLimit>    m_knownLimits;     //!< By server, while it is limited
-    std::vector<ServerReport>              m_received;        //!< Not taken yet
+    std::vector<ServerReport>              m_received;        //!< Other nodes' reports since the last `takeReceived`
 };
 
 } // namespace sailpath::replication
--- a/include/sailpath/replication/ValueDelta.hpp
+++ b/include/sailpath/replication/ValueDelta.hpp
@@ -6,29 +6,31 @@
 #include <string_view>
 
 ////////////////////////////////////////////////////////////
-/// \brief Large values as their difference from an earlier one, and long messages in few bytes
+/// \brief Compression of large values as deltas from an earlier value, and of long messages
 ///
 /// The format is zstd's, with the earlier value as its prefix.
 ////////////////////////////////////////////////////////////
 namespace sailpath::replication
 {
-constexpr std::size_t maxValueSize = std::size_t{64} << 20U; //!< Bytes; what claims to be longer is not unpacked
+constexpr std::size_t maxValueSize = std::size_t{64} << 20U; //!< Bytes; values that declare a larger size are rejected
 
 ////////////////////////////////////////////////////////////
-/// \brief Pack a value
+/// \brief Compress a value
 ///
-/// \param value What is packed
-/// \param base  An earlier value that the other side has, or empty
+/// \param value Value
+/// \param base  Earlier value that the receiver has; empty to compress without one
+///
+/// \return Compressed bytes; empty if the compression failed
 ////////////////////////////////////////////////////////////
 [[nodiscard]] std::string packValue(std::string_view value, std::string_view base);
 
 ////////////////////////////////////////////////////////////
-/// \brief Unpack a value
+/// \brief Decompress a value
 ///
 /// \param packed Result of `packValue`
-/// \param base   The value that it was packed against
+/// \param base   Earlier value that it was compressed with
 ///
-/// \return Null when the bytes are not in form, too long, or of another base
+/// \return The value; null if the bytes are malformed, the value is larger than `maxValueSize`, or the base differs
 ////////////////////////////////////////////////////////////
 [[nodiscard]] std::optional<std::string> unpackValue(std::string_view packed, std::string_view base);
 
