--- a/src/sailpath/replication/Bootstrap.cpp
+++ b/src/sailpath/replication/Bootstrap.cpp
@@ -8,9 +8,10 @@
 {
 namespace
 {
-constexpr unsigned maxDoublings = 2;        // Of the time until an unreachable node is tried again
-constexpr int      linkTimeoutShare = 3;    // Of the time since the start, as patience with a link
-constexpr double   failedStoreShare = 0.25; // Of the spread, when a seed is without a copy as the store failed it
+constexpr unsigned maxDoublings = 2; // Doublings of the retry delay of an unreachable node
+constexpr int linkTimeoutShare = 3;  // The connect timeout is at least this fraction (1/3) of the time since the start
+constexpr double failedStoreShare =
+    0.25; // Fraction of `storeReadSpread`, used once the store failed a seed without a copy
 
 } // namespace
 
@@ -23,7 +24,7 @@
 {
     m_isSeed = std::erase(m_seeds, m_self.address) > 0;
     m_isRelay = m_isSeed;
-    // Each node begins with a seed of its own choice, so that these share the introductions.
+    // Each node orders the seeds by its own hash, so that the seeds share the load of new nodes.
     std::sort(m_seeds.begin(), m_seeds.end(),
               [this](const std::string& left, const std::string& right)
               { return core::hash(left + m_self.address) < core::hash(right + m_self.address); });
@@ -92,8 +93,8 @@
 ////////////////////////////////////////////////////////////
 core::Duration Bootstrap::linkTimeout(core::Timestamp since) const
 {
-    // Seeds may get power last. What was sent to them before is lost, so it is sent again soon; where all are far away
-    // or slow, patience grows until links come up.
+    // Seeds may get power last, and connection attempts before that are lost, so they are retried soon. If all seeds
+    // are distant or slow, the timeout grows until links open.
     return std::max<core::Duration>(m_settings.linkTimeout, (since - m_startedAt) / linkTimeoutShare);
 }
 
@@ -119,22 +120,23 @@
 ////////////////////////////////////////////////////////////
 std::size_t Bootstrap::followLimit(core::Timestamp since, core::Timestamp now) const
 {
-    const auto more = static_cast<std::size_t>((now - since) / m_settings.extraRelayAfter);
-    return std::min<std::size_t>(1 + more, m_settings.maxRelays);
+    const auto extra = static_cast<std::size_t>((now - since) / m_settings.extraRelayAfter);
+    return std::min<std::size_t>(1 + extra, m_settings.maxRelays);
 }
 
 ////////////////////////////////////////////////////////////
 std::vector<std::string> Bootstrap::seedsToFollow(core::Timestamp now) const
 {
-    // Seeds tell each other of all who came, so that they name the same relays.
-    const std::size_t        most = m_isSeed ? m_seeds.size() : followLimit(m_seedLinkSince.value_or(m_startedAt), now);
+    // Seeds follow all other seeds and exchange the nodes they know, so that all of them choose the same relays.
+    const std::size_t maxSeeds = m_isSeed ? m_seeds.size() : followLimit(m_seedLinkSince.value_or(m_startedAt), now);
     std::vector<std::string> seeds;
     const auto               add = [&](const std::string& seed, bool up)
     {
-        if (seeds.size() < most && up == (m_linksUp.count(seed) > 0) && mayTry(seed, now))
+        if (seeds.size() < maxSeeds && up == (m_linksUp.count(seed) > 0) && mayTry(seed, now))
             seeds.push_back(seed);
     };
-    // Whoever has reached one does not go on to the next that is up by now: each of them would introduce all nodes.
+    // A node with a link to a seed keeps to this seed even if another one is up by now; otherwise every seed would have
+    // to refer all nodes to relays.
     for (const std::string& seed : m_seeds)
         add(seed, true);
     for (const std::string& seed : m_seeds)
@@ -171,7 +173,7 @@
 {
     if (m_seeds.empty() || now >= m_startedAt + m_settings.maxStoreReadDelay)
         return true;
-    // Nobody has a copy: so seeds and relays fetch it. They are few, so no crowd comes of it.
+    // If no node has a copy, seeds and relays read the store; their number is small enough not to overload it.
     const auto seedWait = m_linksUp.empty() ? m_settings.seedConnectWait : m_settings.seedAnswerWait;
     if (m_isRelay && (m_peerHasNoCopy || allSeedsFailed() || now >= m_startedAt + seedWait))
         return true;
--- a/src/sailpath/replication/BootstrapRelays.cpp
+++ b/src/sailpath/replication/BootstrapRelays.cpp
@@ -9,16 +9,17 @@
 {
 namespace
 {
-constexpr std::size_t   nodesPerRelay = 25;  // 25 packed copies of 24 KB take 24 ms on 200 Mbit/s
-constexpr std::uint32_t maxCapacityGap = 1;  // Nodes of half the strongest's capacity may be relays beside it
-constexpr std::size_t   maxServedBySeed = 8; // Served by a seed of capacity 1 itself: 8 x 24 KB take 77 ms on 20 Mbit/s
-constexpr auto          gatherDelay = std::chrono::milliseconds{50}; // From the first of a crowd to the first names
-constexpr auto baseServeInterval = std::chrono::milliseconds{100}; // Between copies by a seed of capacity 0 in a crowd
-constexpr std::uint32_t maxCapacity = 6;                           // That makes a difference here
-constexpr auto          sentWindow = std::chrono::seconds{1};      // Copies sent so lately may still be on their way
-constexpr auto awaitStrongerFor = std::chrono::milliseconds{150};  // From the first of a crowd; relays of a tenth of
-                                                                   // its capacity would be slower than the wait
-constexpr auto refreshInterval = std::chrono::milliseconds{10};    // Of one choice and the next
+constexpr std::size_t   nodesPerRelay = 25;  // 25 compressed copies of 24 KB take 24 ms on 200 Mbit/s
+constexpr std::uint32_t maxCapacityGap = 1;  // Capacity steps below the strongest node; 1 step is half its capacity
+constexpr std::size_t   maxServedBySeed = 8; // For a seed of capacity 1: 8 copies of 24 KB take 77 ms on 20 Mbit/s
+constexpr auto gatherDelay = std::chrono::milliseconds{50};        // From the beginning of a crowd to the first choice
+constexpr auto baseServeInterval = std::chrono::milliseconds{100}; // Between copies of a crowded seed of capacity 0
+constexpr std::uint32_t maxCapacity = 6;                           // Higher capacities count as this one
+constexpr auto          sentWindow = std::chrono::seconds{1}; // Copies sent within this time may still be in transit
+constexpr auto          awaitStrongerFor =
+    std::chrono::milliseconds{150}; // From the beginning of a crowd; relays with a tenth of
+                                    // the seed's capacity would cost more time than this wait
+constexpr auto refreshInterval = std::chrono::milliseconds{10}; // Shortest time between two choices
 
 } // namespace
 
@@ -121,7 +122,7 @@
     m_lastChanges = changes;
     m_nextRefreshAt = now + refreshInterval;
     m_awaitsStronger = false;
-    // Nodes as strong as the seed itself are likely to come yet.
+    // Nodes as strong as the seed itself are likely to connect soon.
     const std::uint32_t assumedCapacity = now - m_crowdedSince < awaitStrongerFor ? m_capacity : 0;
     std::map<std::string, std::vector<NodeAddress>, std::less<>> chosen;
     for (const NodeAddress& node : nodes)
@@ -154,8 +155,8 @@
 {
     const auto               local = relaysOf(node.dataCentre);
     std::vector<NodeAddress> chosen(local.begin(), local.end());
-    // Where all are weak, or the strong ones are not there yet, strong ones elsewhere are quicker. Relays are told of
-    // all, as they are to agree later on who of them watches the store.
+    // If the node's data centre has no strong nodes, or none of them has connected yet, relays of other data centres
+    // are faster. Relays receive all relays, because they have to agree later on which of them watch the store.
     if (!chosen.empty() && !isRelay(node))
         return chosen;
     for (const auto& [dataCentre, relays] : m_relays)
--- a/src/sailpath/replication/ItemTable.cpp
+++ b/src/sailpath/replication/ItemTable.cpp
@@ -7,18 +7,18 @@
 {
 namespace
 {
-constexpr std::size_t maxRemovals = 512;     // Kept, so that peers hear of them
-constexpr std::size_t maxPreviousValues = 4; // Earlier values kept of a key
-constexpr std::size_t maxChangedKeys = 4096; // Kept, so that what changed late is told
-constexpr std::size_t maxIndexed = 4096;     // Keys kept in the order of their changes: seconds of a release everywhere
-constexpr std::size_t maxGaps = 16;          // Kept apart; older ones are taken for one
+constexpr std::size_t maxRemovals = 512;     // Removals stored, so that peers receive them
+constexpr std::size_t maxPreviousValues = 4; // Earlier values stored per key
+constexpr std::size_t maxChangedKeys = 4096; // Changed keys stored, from which `lateChanges` is computed
+constexpr std::size_t maxIndexed = 4096;     // Keys indexed by revision: seconds of a release in the whole fleet
+constexpr std::size_t maxGaps = 16;          // Gaps stored separately; older gaps are merged
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
 void ItemTable::apply(std::span<const Item> items, std::uint64_t at, std::vector<Item>& changed)
 {
-    // A newer word that overtook it may have left out what came and went meanwhile.
+    // Newer changes were applied first, and may have skipped keys that were created and removed in between.
     if (at < m_revision)
         return;
     for (const Item& item : items)
@@ -84,8 +84,8 @@
 ////////////////////////////////////////////////////////////
 void ItemTable::recordGap(std::uint64_t from, std::uint64_t to)
 {
-    // What another copy skipped began before this one's revision: removals that it inferred bear revisions from there
-    // on, and a third copy that is as far as this one lacks them.
+    // The other copy's gap may begin before this table's revision. Removals that the other copy inferred have revisions
+    // from the beginning of that gap on, and a third copy with this table's revision lacks them.
     if (m_lastGapOpen)
         m_gaps.back().from = std::min(m_gaps.back().from, from);
     if (m_lastGapOpen || to <= m_revision)
@@ -93,7 +93,7 @@
     m_gaps.push_back({std::min(from, m_revision), to});
     if (m_gaps.size() <= maxGaps)
         return;
-    // The two oldest become one, with what lies between.
+    // The two oldest gaps and the range between them become one gap.
     m_gaps[1].from = m_gaps[0].from;
     m_gaps.erase(m_gaps.begin());
 }
@@ -122,7 +122,7 @@
                                std::vector<Item>& changed)
 {
     std::set<std::string_view> listed;
-    // A removal that is older than the item here says as well that the key does not exist now.
+    // Removals do not count as listed: even one that is older than the item here means that the key no longer exists.
     for (const Item& item : items)
     {
         if (!item.gone)
@@ -182,7 +182,7 @@
 template <typename Visit>
 void ItemTable::forEachChangedAfter(std::uint64_t revision, Visit visit) const
 {
-    // A follower is told of a handful of changes many times a second, whatever the number of items.
+    // Followers are sent a few changes many times a second; the index makes the cost independent of the item count.
     if (revision >= m_indexedAfter)
     {
         for (auto entry = m_byRevision.upper_bound(revision); entry != m_byRevision.end(); ++entry)
@@ -210,8 +210,8 @@
 std::vector<Item> ItemTable::lateChanges(std::uint64_t sequence, std::uint64_t revision) const
 {
     std::set<std::string_view> keys;
-    const std::uint64_t        changesAfter = std::max(sequence, oldestSequence());
-    for (std::uint64_t change = changesAfter; change < m_sequence; ++change)
+    const std::uint64_t        firstChange = std::max(sequence, oldestSequence());
+    for (std::uint64_t change = firstChange; change < m_sequence; ++change)
         keys.insert(m_changedKeys[change - oldestSequence()]);
     std::vector<Item> items;
     for (const std::string_view key : keys)
@@ -268,7 +268,7 @@
         const auto oldest = m_removals.begin();
         const auto item = m_items.find(oldest->second);
         m_prunedUpTo = std::max(m_prunedUpTo, oldest->first);
-        // Its key is not found in the order of changes any more.
+        // The removal leaves the index of changes too.
         const auto [begin, end] = m_byRevision.equal_range(oldest->first);
         const auto indexed =
             std::find_if(begin, end, [&](const auto& entry) { return entry.second == oldest->second; });
--- a/src/sailpath/replication/ServerGossip.cpp
+++ b/src/sailpath/replication/ServerGossip.cpp
@@ -8,19 +8,21 @@
 {
 namespace
 {
-constexpr auto reportInterval = std::chrono::milliseconds{350}; // Between own reports; updates travel as often
+constexpr auto reportInterval =
+    std::chrono::milliseconds{350}; // Between reports of this node; equals the interval of updates
 constexpr auto urgentInterval =
-    std::chrono::milliseconds{20};  // Between own reports that are urgent: what one end brings
-constexpr std::size_t maxEnds = 32; // In a report; who sees more end has a bad link or lies
-constexpr auto        reportLifetime = std::chrono::seconds{3}; // Of a report on its way
-constexpr std::size_t maxLimits = 64;        // In a report, and waiting for one; servers of several services in need
-constexpr std::size_t maxKnownLimits = 1024; // Limited servers and workspaces with quotas, kept for nodes that start
-constexpr std::size_t maxServers = 16;       // In a report; who sees more fail has a bad link itself
-constexpr std::size_t maxEntries = 512;      // Kept; a third of a second of 473 nodes that all see failures
+    std::chrono::milliseconds{20};  // Between urgent reports; batches the records that the end of one server causes
+constexpr std::size_t maxEnds = 32; // Per report; a node that reports more has a bad link or is faulty
+constexpr auto        reportLifetime = std::chrono::seconds{3}; // Time for which a report is forwarded
+constexpr std::size_t maxLimits = 64; // Per report, and pending; enough for overloaded servers of several services
+constexpr std::size_t maxKnownLimits = 1024; // Limited servers and workspaces with quotas, stored for new followers
+constexpr std::size_t maxServers = 16;  // Per report; a node that reports more failing servers has a bad link itself
+constexpr std::size_t maxEntries = 512; // Reports stored: a third of a second if all of 473 nodes report failures
 constexpr auto        knownLimitLifetime =
-    std::chrono::seconds{30};                  // Of what a limited server said; while it is used it says it again
-constexpr std::size_t   maxOrigins = 4096;     // Remembered
-constexpr std::uint32_t maxNumberLag = 60'000; // Numbers, ms: the node's clock began anew
+    std::chrono::seconds{30};              // Time for which a limit is valid; servers in use announce it again
+constexpr std::size_t   maxOrigins = 4096; // Origins whose last report number is stored
+constexpr std::uint32_t maxNumberLag =
+    60'000; // Report numbers are ms; a number that lags by more means that the node's clock was reset
 
 } // namespace
 
@@ -177,7 +179,8 @@
     if (m_knownLimits.empty())
         return std::nullopt;
     const auto   number = std::chrono::duration_cast<std::chrono::milliseconds>(now.time_since_epoch()).count();
-    ServerReport report{m_self, static_cast<std::uint32_t>(number) - 1, {}, {}, {}, {}}; // Own ones go on after it
+    ServerReport report{m_self, static_cast<std::uint32_t>(number) - 1, {}, {}, {},
+                        {}}; // Below the numbers of this node's next reports
     for (const auto& [server, limit] : m_knownLimits)
     {
         LimitRecord record = limit.record;
@@ -185,7 +188,7 @@
         record.agoMs = static_cast<std::uint32_t>(std::max(0.0, core::toMilliseconds(now - limit.at)));
         report.limits.push_back(record);
     }
-    // Of many, those that are the least open: a node that starts may take the others for open.
+    // If there are too many, those with the lowest probability are sent; a new node treats the others as not limited.
     std::sort(report.limits.begin(), report.limits.end(),
               [](const auto& left, const auto& right) { return left.doublings < right.doublings; });
     if (report.limits.size() > maxLimits)
--- a/src/sailpath/replication/ValueDelta.cpp
+++ b/src/sailpath/replication/ValueDelta.cpp
@@ -10,10 +10,10 @@
 {
 namespace
 {
-constexpr int         compressionLevel = 1; // Of zstd; a configuration of 0.5 MB takes about a millisecond
-constexpr int         minWindowLog = 10;    // Binary order of bytes, zstd's least
-constexpr int         maxWindowLog = 26;    // Holds the longest value
-constexpr std::size_t longDistanceThreshold = 128UL * 1024; // Bytes from which repetitions far apart are looked for
+constexpr int         compressionLevel = 1; // zstd level; compressing a configuration of 0.5 MB takes about 1 ms
+constexpr int         minWindowLog = 10;    // Binary logarithm of bytes; zstd's minimum
+constexpr int         maxWindowLog = 26;    // Binary logarithm of bytes; covers `maxValueSize`
+constexpr std::size_t longDistanceThreshold = 128UL * 1024; // Bytes from which long-distance matching is used
 
 struct FreeCompressor
 {
