--- a/test/replication/ItemTable.test.cpp
+++ b/test/replication/ItemTable.test.cpp
@@ -8,21 +8,21 @@
 using sailpath::replication::ItemTable;
 
 ////////////////////////////////////////////////////////////
-/// \brief Take a whole picture in every way that one may come
+/// \brief Apply an outdated list of all items in every way in which a table may receive one
 ////////////////////////////////////////////////////////////
-void takeOld(ItemTable& table, const std::vector<Item>& picture, std::uint64_t at, std::vector<Item>& changed)
+void applyOutdated(ItemTable& table, const std::vector<Item>& items, std::uint64_t at, std::vector<Item>& changed)
 {
-    table.applySnapshot(picture, at, changed);
-    table.applyNonAtomicRead(picture, at, at, changed);
+    table.applySnapshot(items, at, changed);
+    table.applyNonAtomicRead(items, at, at, changed);
     for (const bool gapped : {false, true})
-        table.apply({0, at, gapped, picture}, changed);
+        table.apply({0, at, gapped, items}, changed);
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(ItemTableTest)
 
-BOOST_AUTO_TEST_CASE(AChangeCostsTheSameWhateverTheNumberOfItems)
+BOOST_AUTO_TEST_CASE(TheCostOfAChangeDoesNotDependOnTheNumberOfItems)
 {
     for (const unsigned servers : {250U, 1000U, 4000U, 20000U})
     {
@@ -33,12 +33,12 @@
             all.push_back({"servers/" + std::to_string(i), "x", i, false});
         table.applySnapshot(all, servers, changed);
         const auto before = table.examinedItems();
-        // Ten changes, each told to 25 followers and taken from a relay.
+        // Ten changes, each received from a relay and sent to 25 followers.
         for (unsigned i = 1; i <= 10; ++i)
         {
             const std::uint64_t     at = servers + i;
-            const std::vector<Item> one{{"servers/" + std::to_string(i), "y", at, i % 2 == 0}};
-            table.apply({at - 1, at, false, one}, changed);
+            const std::vector<Item> changes{{"servers/" + std::to_string(i), "y", at, i % 2 == 0}};
+            table.apply({at - 1, at, false, changes}, changed);
             for (unsigned follower = 0; follower < 25; ++follower)
                 BOOST_TEST(table.changesAfter(at - 1).size() == 1U);
         }
@@ -46,7 +46,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(RemovalsInNumberAreForgottenTheOldestFirst)
+BOOST_AUTO_TEST_CASE(TheOldestRemovalsAreDroppedFirst)
 {
     ItemTable         table;
     std::vector<Item> changed;
@@ -58,25 +58,25 @@
     BOOST_TEST(table.changesAfter(1999).size() == 1U);
     BOOST_TEST(table.changesAfter(1990).size() == 10U);
     BOOST_TEST(table.resendAfter(1990) == 1990U);
-    BOOST_TEST(table.resendAfter(100) == 0U); // What was forgotten then is told by the whole picture only
+    BOOST_TEST(table.resendAfter(100) == 0U); // Removals dropped since then are conveyed by all items only
 }
 
-BOOST_AUTO_TEST_CASE(WhatChangedLongAgoIsFoundAsWell)
+BOOST_AUTO_TEST_CASE(ChangesOutsideTheIndexAreFound)
 {
-    // More changes than are kept in order.
+    // Make more changes than the index by revision holds.
     ItemTable         table;
     std::vector<Item> changed;
     for (unsigned i = 1; i <= 9000; ++i)
     {
-        const std::vector<Item> one{{"servers/" + std::to_string(i % 6000), "x", i, false}};
-        table.apply(one, i, changed);
+        const std::vector<Item> changes{{"servers/" + std::to_string(i % 6000), "x", i, false}};
+        table.apply(changes, i, changed);
     }
     BOOST_TEST(table.changesAfter(3000).size() == 6000U);
     BOOST_TEST(table.changesAfter(8500).size() == 500U);
     BOOST_TEST(table.changesAfter(0).size() == 6000U);
 }
 
-BOOST_AUTO_TEST_CASE(AKeyOnlyMovesToHigherRevisions)
+BOOST_AUTO_TEST_CASE(TheRevisionOfAKeyNeverDecreases)
 {
     ItemTable               table;
     std::vector<Item>       changed;
@@ -89,37 +89,37 @@
     BOOST_TEST(table.revision() == 7U);
 }
 
-BOOST_AUTO_TEST_CASE(AWholePictureRemovesWhatItLacksUnlessThatIsNewer)
+BOOST_AUTO_TEST_CASE(ASnapshotRemovesUnlistedKeysUnlessTheyAreNewer)
 {
     ItemTable               table;
     std::vector<Item>       changed;
     const std::vector<Item> before{{"gone", "x", 3, false}, {"newer", "y", 12, false}, {"stays", "z", 4, false}};
-    // Read in pages: some items are newer than what all are known to be of.
+    // The items are read in pages: some are newer than the revision as of which all are known.
     table.apply(before, 9, changed);
     changed.clear();
-    const std::vector<Item> picture{{"stays", "z", 4, false}};
-    table.applySnapshot(picture, 10, changed);
+    const std::vector<Item> items{{"stays", "z", 4, false}};
+    table.applySnapshot(items, 10, changed);
     BOOST_REQUIRE_EQUAL(changed.size(), 1U);
     BOOST_TEST(changed[0].key == "gone");
     BOOST_TEST(changed[0].gone);
     BOOST_TEST(table.all().size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(RemovalsAreTold)
+BOOST_AUTO_TEST_CASE(ChangesIncludeRemovals)
 {
     ItemTable               table;
     std::vector<Item>       changed;
-    const std::vector<Item> one{{"k", "x", 3, false}};
-    const std::vector<Item> none{{"k", "", 5, true}};
-    table.apply(one, 3, changed);
-    table.apply(none, 5, changed);
-    const auto told = table.changesAfter(3);
-    BOOST_REQUIRE_EQUAL(told.size(), 1U);
-    BOOST_TEST(told[0].gone);
+    const std::vector<Item> changes{{"k", "x", 3, false}};
+    const std::vector<Item> removal{{"k", "", 5, true}};
+    table.apply(changes, 3, changed);
+    table.apply(removal, 5, changed);
+    const auto sent = table.changesAfter(3);
+    BOOST_REQUIRE_EQUAL(sent.size(), 1U);
+    BOOST_TEST(sent[0].gone);
     BOOST_TEST(table.changesAfter(5).empty());
 }
 
-BOOST_AUTO_TEST_CASE(ForgottenRemovalsAreKnownToBeForgotten)
+BOOST_AUTO_TEST_CASE(AfterDroppedRemovalsAnOlderCopyNeedsAllItems)
 {
     ItemTable         table;
     std::vector<Item> changed;
@@ -132,23 +132,23 @@
     BOOST_TEST(table.resendAfter(2000) == 2000U);
 }
 
-BOOST_AUTO_TEST_CASE(AnOlderPictureAddsNothing)
+BOOST_AUTO_TEST_CASE(AnOlderSnapshotAddsNothing)
 {
     ItemTable               table;
     std::vector<Item>       changed;
-    const std::vector<Item> whole{{"stays", "z", 4, false}};
-    table.applySnapshot(whole, 10, changed);
+    const std::vector<Item> snapshot{{"stays", "z", 4, false}};
+    table.applySnapshot(snapshot, 10, changed);
     changed.clear();
-    const std::vector<Item> old{{"left", "x", 3, false}, {"stays", "z", 4, false}};
-    table.applyNonAtomicRead(old, 4, 6, changed);
-    table.applySnapshot(old, 8, changed);
+    const std::vector<Item> outdated{{"left", "x", 3, false}, {"stays", "z", 4, false}};
+    table.applyNonAtomicRead(outdated, 4, 6, changed);
+    table.applySnapshot(outdated, 8, changed);
     BOOST_TEST(changed.empty());
     BOOST_TEST(table.all().size() == 1U);
     BOOST_TEST(table.revision() == 10U);
     BOOST_TEST(table.isExact());
 }
 
-BOOST_AUTO_TEST_CASE(WhoKnowsAPartOfAGapIsToldAllSinceItsBeginning)
+BOOST_AUTO_TEST_CASE(ACopyWithinAGapIsSentAllChangesSinceItsBeginning)
 {
     ItemTable               table;
     std::vector<Item>       changed;
@@ -157,7 +157,7 @@
     table.apply(items, 20, changed);
     BOOST_TEST(!table.hasGapAfter(5));
     table.applySnapshot(items, 30, changed);
-    BOOST_TEST(table.resendAfter(4) == 0U); // Before the first reading: the whole picture
+    BOOST_TEST(table.resendAfter(4) == 0U); // A copy older than the first snapshot needs all items
     BOOST_TEST(table.resendAfter(5) == 5U);
     BOOST_TEST(table.resendAfter(20) == 20U);
     BOOST_TEST(table.resendAfter(25) == 20U);
@@ -166,7 +166,7 @@
     BOOST_TEST(!table.hasGapAfter(30));
 }
 
-BOOST_AUTO_TEST_CASE(AReadingThatIsNoSnapshotLeavesItsGapOpenUntilAllOfItsTimeIsTaken)
+BOOST_AUTO_TEST_CASE(TheGapOfANonAtomicReadStaysOpenUntilItsHighestRevision)
 {
     ItemTable               table;
     std::vector<Item>       changed;
@@ -182,33 +182,33 @@
     BOOST_TEST(table.resendAfter(10) == 10U);
 }
 
-BOOST_AUTO_TEST_CASE(WhatAnotherCopyDoesNotListOfItsChangesIsGone)
+BOOST_AUTO_TEST_CASE(ItemsThatAPeersChangesDoNotListAreRemoved)
 {
     ItemTable               table;
     std::vector<Item>       changed;
     const std::vector<Item> items{{"old", "x", 3, false}, {"brief", "y", 8, false}};
     table.applySnapshot(items, 8, changed);
     changed.clear();
-    const std::vector<Item> told{{"new", "z", 11, false}};
-    table.apply({5, 12, true, told}, changed);
+    const std::vector<Item> sent{{"new", "z", 11, false}};
+    table.apply({5, 12, true, sent}, changed);
     BOOST_REQUIRE_EQUAL(changed.size(), 2U);
     BOOST_TEST(changed[0].key == "brief");
     BOOST_TEST(changed[0].gone);
     BOOST_TEST(table.all().size() == 2U);
-    // The other copy's gap is this one's too, from its beginning.
+    // The table takes over the other copy's gap, from its beginning.
     BOOST_TEST(table.resendAfter(10) == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(WhoTookAnothersGapTellsFromItsBeginning)
+BOOST_AUTO_TEST_CASE(APeersGapIsResentFromItsBeginning)
 {
-    // Another copy went from 31 to 37 by a reading of several moments, and infers that "left" went, at 33. This copy was
-    // at 33 already, as is a third one that still has "left": it has to be told of what bears revision 33.
+    // Another copy advanced from revision 31 to 37 by a non-atomic read and inferred the removal of "left", at 33. This
+    // table had revision 33 before, like a third copy that still has "left" and has to be sent changes of revision 33.
     std::vector<Item> changed;
     ItemTable         table;
     table.applySnapshot(std::vector<Item>{{"config", "1", 20, false}, {"left", "ready", 31, false}}, 31, changed);
     table.apply(std::vector<Item>{{"new", "ready", 32, false}}, 33, changed);
-    const std::vector<Item> told{{"left", "", 33, true}, {"new", "ready", 32, false}, {"gone", "", 37, true}};
-    table.apply({31, 37, true, told}, changed);
+    const std::vector<Item> sent{{"left", "", 33, true}, {"new", "ready", 32, false}, {"gone", "", 37, true}};
+    table.apply({31, 37, true, sent}, changed);
     BOOST_TEST(table.resendAfter(33) == 31U);
     const auto items = table.changesAfter(table.resendAfter(33));
     BOOST_TEST(
@@ -216,7 +216,7 @@
     BOOST_TEST(table.resendAfter(37) == 37U);
 }
 
-BOOST_AUTO_TEST_CASE(WhoIsWithinTwoGapsIsToldFromTheFirstBeginning)
+BOOST_AUTO_TEST_CASE(ACopyWithinTwoGapsIsSentChangesSinceTheFirstBeginning)
 {
     std::vector<Item> changed;
     ItemTable         table;
@@ -227,28 +227,28 @@
     BOOST_TEST(table.resendAfter(33) == 25U);
 }
 
-BOOST_AUTO_TEST_CASE(AnOldPictureBringsBackNothingThatWasRemoved)
+BOOST_AUTO_TEST_CASE(AnOutdatedSnapshotRestoresNoRemovedKey)
 {
     ItemTable               table;
     std::vector<Item>       changed;
-    const std::vector<Item> one{{"k", "ready", 3, false}, {"other", "x", 4, false}};
-    const std::vector<Item> none{{"k", "", 5, true}};
-    table.apply(one, 4, changed);
-    table.apply(none, 5, changed);
+    const std::vector<Item> changes{{"k", "ready", 3, false}, {"other", "x", 4, false}};
+    const std::vector<Item> removal{{"k", "", 5, true}};
+    table.apply(changes, 4, changed);
+    table.apply(removal, 5, changed);
     changed.clear();
-    takeOld(table, one, 4, changed);
+    applyOutdated(table, changes, 4, changed);
     BOOST_TEST(changed.empty());
     BOOST_TEST(table.all().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(AnOldPictureBringsBackNothingWhoseRemovalWasForgotten)
+BOOST_AUTO_TEST_CASE(AnOutdatedSnapshotRestoresNoKeyWhoseRemovalWasDropped)
 {
     ItemTable               table;
     std::vector<Item>       changed;
-    const std::vector<Item> one{{"k", "ready", 3, false}, {"other", "x", 4, false}};
-    const std::vector<Item> none{{"k", "", 5, true}};
-    table.apply(one, 4, changed);
-    table.apply(none, 5, changed);
+    const std::vector<Item> changes{{"k", "ready", 3, false}, {"other", "x", 4, false}};
+    const std::vector<Item> removal{{"k", "", 5, true}};
+    table.apply(changes, 4, changed);
+    table.apply(removal, 5, changed);
     for (std::uint64_t revision = 6; revision <= 2006; ++revision)
     {
         const std::vector<Item> item{{"n" + std::to_string(revision / 2), "", revision, revision % 2 == 1}};
@@ -256,7 +256,7 @@
     }
     BOOST_REQUIRE(table.resendAfter(5) == 0U);
     changed.clear();
-    takeOld(table, one, 4, changed);
+    applyOutdated(table, changes, 4, changed);
     BOOST_TEST(changed.empty());
 }
 
--- a/test/replication/LargeValues.test.cpp
+++ b/test/replication/LargeValues.test.cpp
@@ -18,7 +18,7 @@
 constexpr std::size_t         sectionCount = 3000;
 
 ////////////////////////////////////////////////////////////
-/// \brief About 200 KB, which differ from version to version at their beginning and in one section
+/// \brief Return a configuration of about 200 KB; versions differ at the beginning and in one section
 ////////////////////////////////////////////////////////////
 std::string configuration(unsigned version)
 {
@@ -32,15 +32,15 @@
 }
 
 ////////////////////////////////////////////////////////////
-struct Pair
+struct ReplicaPair
 {
-    Pair() :
+    ReplicaPair() :
     relay(settingsOf("10.0.0.1:7000", {}), start),
     node(settingsOf("10.0.0.9:7000", {"10.0.0.1:7000"}), start)
     {
         relay.storeRead(std::vector<Item>{{"config", configuration(1), 10, false}}, 10, start, start);
         (void)relay.takeActions();
-        openLink();
+        connect();
     }
 
     static replication::ReplicaSettings settingsOf(const std::string& address, std::vector<std::string> seeds)
@@ -51,8 +51,8 @@
         return settings;
     }
 
-    /// \brief Let the node's wish for a link come true, and carry its first word to the relay
-    bool openLink()
+    /// \brief Open the link that the node requested and deliver its hello to the relay; return whether it did
+    bool connect()
     {
         const auto actions = node.takeActions();
         for (const auto& action : actions)
@@ -72,8 +72,8 @@
                            [](const auto& action) { return std::holds_alternative<replication::OpenLink>(action); });
     }
 
-    /// \brief Carry the relay's updates to the node; their size in bytes
-    std::size_t carry()
+    /// \brief Deliver the relay's updates to the node; return the size of their values in bytes
+    std::size_t deliverUpdates()
     {
         std::size_t bytes = 0;
         for (const auto& action : relay.takeActions())
@@ -95,13 +95,13 @@
         return bytes;
     }
 
-    void change(unsigned version, std::uint64_t revision)
+    void writeVersion(unsigned version, std::uint64_t revision)
     {
         now += 100ms;
         relay.storeChanged(std::vector<Item>{{"config", configuration(version), revision, false}}, revision, now);
     }
 
-    [[nodiscard]] bool has(unsigned version) const
+    [[nodiscard]] bool hasVersion(unsigned version) const
     {
         const auto items = node.table().all();
         return items.size() == 1 && items[0].value == configuration(version);
@@ -117,35 +117,35 @@
 
 BOOST_AUTO_TEST_SUITE(LargeValueTest)
 
-BOOST_AUTO_TEST_CASE(AChangeOfALargeValueIsToldInFewBytes)
+BOOST_AUTO_TEST_CASE(AChangeOfALargeValueIsSentAsASmallDelta)
 {
-    Pair pair;
-    BOOST_TEST(pair.carry() > 100'000U);
-    BOOST_TEST(pair.has(1));
-    pair.change(2, 11);
-    BOOST_TEST(pair.carry() < 2000U);
-    BOOST_TEST(pair.has(2));
-    pair.change(3, 12);
-    pair.change(4, 13);
-    BOOST_TEST(pair.carry() < 4000U);
-    BOOST_TEST(pair.has(4));
+    ReplicaPair pair;
+    BOOST_TEST(pair.deliverUpdates() > 100'000U);
+    BOOST_TEST(pair.hasVersion(1));
+    pair.writeVersion(2, 11);
+    BOOST_TEST(pair.deliverUpdates() < 2000U);
+    BOOST_TEST(pair.hasVersion(2));
+    pair.writeVersion(3, 12);
+    pair.writeVersion(4, 13);
+    BOOST_TEST(pair.deliverUpdates() < 4000U);
+    BOOST_TEST(pair.hasVersion(4));
 }
 
-BOOST_AUTO_TEST_CASE(WhoHeardANewerValueElsewhereStillUnderstandsTheDifference)
+BOOST_AUTO_TEST_CASE(ANodeWithANewerValueAppliesADeltaFromAnEarlierOne)
 {
-    Pair pair;
-    (void)pair.carry();
+    ReplicaPair pair;
+    (void)pair.deliverUpdates();
     pair.node.storeChanged(std::vector<Item>{{"config", configuration(2), 11, false}}, 11, pair.now);
-    pair.change(3, 12); // The relay never saw the second
-    BOOST_TEST(pair.carry() < 2000U);
-    BOOST_TEST(pair.has(3));
+    pair.writeVersion(3, 12); // The relay never had version 2
+    BOOST_TEST(pair.deliverUpdates() < 2000U);
+    BOOST_TEST(pair.hasVersion(3));
 }
 
-BOOST_AUTO_TEST_CASE(WhoLacksTheEarlierValueIsToldAllOnce)
+BOOST_AUTO_TEST_CASE(ANodeWithoutTheBaseValueIsSentAllItemsOnce)
 {
-    Pair pair;
-    (void)pair.carry();
-    pair.change(2, 11);
+    ReplicaPair pair;
+    (void)pair.deliverUpdates();
+    pair.writeVersion(2, 11);
     for (const auto& action : pair.relay.takeActions())
     {
         const auto* sent = std::get_if<replication::SendUpdate>(&action);
@@ -156,15 +156,15 @@
         wrong.packed[0].base = 9;
         pair.node.updateReceived(pair.link, wrong, pair.now);
     }
-    BOOST_TEST(pair.has(1));
-    BOOST_TEST(pair.openLink());
+    BOOST_TEST(pair.hasVersion(1));
+    BOOST_TEST(pair.connect());
     pair.now += 100ms;
     pair.relay.tick(pair.now);
-    BOOST_TEST(pair.carry() > 100'000U);
-    BOOST_TEST(pair.has(2));
+    BOOST_TEST(pair.deliverUpdates() > 100'000U);
+    BOOST_TEST(pair.hasVersion(2));
 }
 
-BOOST_AUTO_TEST_CASE(BytesThatAreNoDifferenceAreRefused)
+BOOST_AUTO_TEST_CASE(MalformedDeltasAreRejected)
 {
     const std::string base = configuration(1);
     const std::string packed = replication::packValue(configuration(2), base);
--- a/test/replication/removals/Interleavings.test.cpp
+++ b/test/replication/removals/Interleavings.test.cpp
@@ -1,4 +1,5 @@
-// Words of the store that come late, in parts or not at all: a copy stays complete as of its revision.
+// Guards against copies that lack changes up to their own revision when answers of the store arrive late, in parts or
+// not at all.
 
 #include <support/ReplicaGroup.hpp>
 
@@ -34,7 +35,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-replication::LinkId linkOf(Replica& replica, core::Timestamp now)
+replication::LinkId openLink(Replica& replica, core::Timestamp now)
 {
     for (const auto& action : replica.takeActions())
     {
@@ -48,14 +49,14 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool has(const Replica& replica, const std::string& key)
+bool hasKey(const Replica& replica, const std::string& key)
 {
     const auto items = replica.table().all();
     return std::any_of(items.begin(), items.end(), [&](const Item& item) { return item.key == key; });
 }
 
 ////////////////////////////////////////////////////////////
-Update wholePicture(std::uint64_t at, std::vector<Item> items)
+Update fullUpdate(std::uint64_t at, std::vector<Item> items)
 {
     Update update;
     update.at = at;
@@ -65,36 +66,36 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief What may go wrong between the store and the nodes in a random schedule
+/// \brief Faults between the store and the nodes in a random schedule
 ////////////////////////////////////////////////////////////
-struct Trouble
+struct Faults
 {
-    core::Duration storeBack{}; //!< Longest way of an answer
-    core::Duration linkWay{};   //!< Longest way between nodes
-    core::Duration apart{};     //!< Between the pages of a reading
-    bool           deaf{false}; //!< Watches are deaf before the history is dropped
-    bool           jumps{false};
+    core::Duration maxStoreDelay{};           //!< Longest delay of a store answer
+    core::Duration maxLinkDelay{};            //!< Longest delay of a message between nodes
+    core::Duration pageInterval{};            //!< Time between the pages of a read
+    bool           missChanges{false};        //!< Watches miss changes before the store drops its history
+    bool           nameLatestRevision{false}; //!< Such watches still answer with the latest revision
     int            steps{60};
 };
 
 ////////////////////////////////////////////////////////////
-struct Played
+struct Outcome
 {
-    std::string    incomplete; //!< First copy that lacked something before its revision
-    std::size_t    wrong{0};   //!< Keys of nodes that are not the store's at the end
+    std::string    incomplete;   //!< First copy that lacked a change up to its revision
+    std::size_t    wrongKeys{0}; //!< Values at nodes that differ from the store at the end
     core::Duration overstated{};
 };
 
 ////////////////////////////////////////////////////////////
-Played play(std::uint64_t seed, const Trouble& trouble, std::size_t nodes = 13)
+Outcome runSchedule(std::uint64_t seed, const Faults& faults, std::size_t nodes = 13)
 {
     ReplicaGroup group(nodes, seed);
     core::Random random(seed * 15485863);
-    group.slowStore(trouble.storeBack);
-    group.slowLinks({}, trouble.linkWay);
-    group.readInPages(trouble.apart);
+    group.slowStore(faults.maxStoreDelay);
+    group.slowLinks({}, faults.maxLinkDelay);
+    group.readInPages(faults.pageInterval);
     const auto               keyOf = [](std::size_t key) { return "servers/" + std::to_string(key); };
-    // Every server has a key of its own, as starts have ids of their own.
+    // Every server has a key of its own, as every start of a server has a new id.
     std::size_t              next = 0;
     std::vector<std::size_t> present;
     const auto               add = [&]
@@ -105,7 +106,7 @@
     for (int key = 0; key < 8; ++key)
         add();
     group.pass(4s);
-    for (int step = 0; step < trouble.steps; ++step)
+    for (int step = 0; step < faults.steps; ++step)
     {
         const std::size_t node = random.below(nodes);
         switch (random.below(8))
@@ -118,9 +119,9 @@
             group.start(node);
             break;
         case 3:
-            if (trouble.deaf)
+            if (faults.missChanges)
             {
-                group.deafen(1s, trouble.jumps);
+                group.deafen(1s, faults.nameLatestRevision);
                 group.pass(core::Duration(random.below(400'000)));
                 add();
                 group.remove(keyOf(present[0]));
@@ -132,7 +133,7 @@
         case 4:
         case 5:
             add();
-            // Some leave at once.
+            // Some servers are removed at once.
             group.pass(core::Duration(random.below(60'000)));
             if (random.unit() < 0.5)
             {
@@ -154,82 +155,84 @@
     for (std::size_t node = 0; node < nodes; ++node)
         group.start(node);
     group.pass(8s);
-    Played played{group.incomplete(), 0, group.overstated()};
+    Outcome outcome{group.incomplete(), 0, group.overstated()};
     for (std::size_t node = 0; node < nodes; ++node)
     {
         for (std::size_t key = 0; key < next; ++key)
-            played.wrong += group.valueAt(node, keyOf(key)) != group.value(keyOf(key)) ? 1 : 0;
+            outcome.wrongKeys += group.valueAt(node, keyOf(key)) != group.value(keyOf(key)) ? 1 : 0;
     }
-    return played;
+    return outcome;
 }
 
 ////////////////////////////////////////////////////////////
-std::uint64_t schedules(std::uint64_t usual)
+std::uint64_t scheduleCount(std::uint64_t usual)
 {
     const char* const wanted = std::getenv("SAILPATH_SCHEDULES");
     return wanted != nullptr ? std::strtoull(wanted, nullptr, 10) : usual;
 }
 
 ////////////////////////////////////////////////////////////
-void expectComplete(const Trouble& trouble)
+void expectComplete(const Faults& faults)
 {
     std::size_t    incomplete = 0;
-    std::size_t    ghosts = 0;
+    std::size_t    withWrongKeys = 0;
     core::Duration overstated{};
-    std::string    first;
-    for (std::uint64_t seed = 1; seed <= schedules(40); ++seed)
+    std::string    firstIncomplete;
+    for (std::uint64_t seed = 1; seed <= scheduleCount(40); ++seed)
     {
-        const Played played = play(seed, trouble);
-        incomplete += played.incomplete.empty() ? 0 : 1;
-        ghosts += played.wrong > 0 ? 1 : 0;
-        overstated = std::max(overstated, played.overstated);
-        if (first.empty() && !played.incomplete.empty())
-            first = "seed " + std::to_string(seed) + ": " + played.incomplete;
+        const Outcome outcome = runSchedule(seed, faults);
+        incomplete += outcome.incomplete.empty() ? 0 : 1;
+        withWrongKeys += outcome.wrongKeys > 0 ? 1 : 0;
+        overstated = std::max(overstated, outcome.overstated);
+        if (firstIncomplete.empty() && !outcome.incomplete.empty())
+            firstIncomplete = "seed " + std::to_string(seed) + ": " + outcome.incomplete;
     }
     BOOST_TEST_MESSAGE("schedules with a copy that was not complete: "
-                       << incomplete << ", with wrong keys at the end: " << ghosts
-                       << ", overstated by ms at most: " << core::toMilliseconds(overstated));
-    BOOST_TEST(incomplete == 0U, first);
-    BOOST_TEST(ghosts == 0U);
+                       << incomplete << ", with wrong keys at the end: " << withWrongKeys
+                       << ", age understated by at most (ms): " << core::toMilliseconds(overstated));
+    BOOST_TEST(incomplete == 0U, firstIncomplete);
+    BOOST_TEST(withWrongKeys == 0U);
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(InterleavingsTest)
 
-BOOST_AUTO_TEST_CASE(AnAnswerOfTheStoreThatIsOlderThanTheCopyBringsNothingBack)
+BOOST_AUTO_TEST_CASE(AStoreAnswerOlderThanTheCopyRestoresNothing)
 {
-    // The own watch was answered when "brief" came; before that is heard, a relay that read the store later tells all.
+    // The store answers the node's watch when "brief" is created. Before the answer arrives, a relay that has read the
+    // store later sends all items.
     Replica    node = makeReplica(nodeAddress, {relayAddress});
-    const auto link = linkOf(node, start);
+    const auto link = openLink(node, start);
     node.storeRead(config, 100, start, start);
-    node.updateReceived(link, wholePicture(120, config), start + 10ms);
+    node.updateReceived(link, fullUpdate(120, config), start + 10ms);
     BOOST_TEST(node.table().revision() == 120U);
     node.storeChanged(std::vector<Item>{{brief, "ready", 110, false}}, 110, start + 12ms);
-    BOOST_TEST(!has(node, brief));
+    BOOST_TEST(!hasKey(node, brief));
 }
 
-BOOST_AUTO_TEST_CASE(WordsOfAFormerNodeThatAreOlderThanTheCopyBringNothingBack)
+BOOST_AUTO_TEST_CASE(AnUpdateOlderThanTheCopyRestoresNothing)
 {
     Replica    node = makeReplica(nodeAddress, {relayAddress});
-    const auto link = linkOf(node, start);
+    const auto link = openLink(node, start);
     node.storeRead(config, 120, start, start);
     Update former;
     former.at = 110;
     former.items = {{brief, "ready", 110, false}};
     node.updateReceived(link, former, start + 10ms);
-    BOOST_TEST(!has(node, brief));
+    BOOST_TEST(!hasKey(node, brief));
 }
 
-BOOST_AUTO_TEST_CASE(AnEmptyAnswerThatNamesALaterRevisionDoesNotMakeTheCopyComplete)
+BOOST_AUTO_TEST_CASE(AnEmptyAnswerWithALaterRevisionDoesNotAdvanceTheCopy)
 {
-    // All keys are watched: a revision without a word of what changed leaves something out.
+    // All keys are watched: a later revision without any change means that the answer lacks a change.
     Replica node = makeReplica(relayAddress, {});
     node.storeRead(config, 100, start, start);
     (void)node.takeActions();
     node.storeChanged({}, 110, start + 10ms);
     BOOST_TEST(node.table().revision() == 100U);
-    // It reads anew, and not at once: a store that goes on so is not asked without pause.
+    // The node reads the store again, but only after a delay, so that a store that keeps giving such answers is not
+    // polled in a tight loop.
     const auto reads = [&]
     {
         const auto actions = node.takeActions();
@@ -243,19 +246,20 @@
     BOOST_TEST(reads());
 }
 
-BOOST_AUTO_TEST_CASE(AWordOlderThanAReadingInPartsDoesNotSettleIt)
+BOOST_AUTO_TEST_CASE(AnUpdateOlderThanANonAtomicReadDoesNotCloseItsGap)
 {
-    // The reading's later pages are of 110; a slow link brings what was so before it.
+    // The later pages of the read are of revision 110; a slow link delivers an older update.
     Replica    node = makeReplica(nodeAddress, {relayAddress});
-    const auto link = linkOf(node, start);
+    const auto link = openLink(node, start);
     node.storeRead(config, 100, {}, start);
-    node.updateReceived(link, wholePicture(95, config), start + 1200ms);
+    node.updateReceived(link, fullUpdate(95, config), start + 1200ms);
     BOOST_TEST(!node.table().isExact());
 }
 
-BOOST_AUTO_TEST_CASE(AnEmptyAnswerCountsFromWhenTheStoreGaveItNotFromWhenItCame)
+BOOST_AUTO_TEST_CASE(AnEmptyAnswerProvesTheCopyAsOfItsSendingNotItsArrival)
 {
-    // Asked to answer at once, it took 800 ms: a change in that time is not in it for certain.
+    // The store is asked to answer at once, and its answer arrives 800 ms after even the longest wait of a watch. The
+    // answer may lack a change made in that time.
     Replica node = makeReplica(relayAddress, {});
     node.storeRead(config, 100, start, start);
     node.tick(start + 1000ms);
@@ -264,7 +268,7 @@
     BOOST_TEST(core::toMilliseconds(node.age(start + 2800ms)) >= 800.0);
 }
 
-BOOST_AUTO_TEST_CASE(AKeyThatIsRemovedAndWrittenAgainInAGapIsTheNewOne)
+BOOST_AUTO_TEST_CASE(AKeyRewrittenWithinAGapHasTheNewValue)
 {
     ItemTable               table;
     std::vector<Item>       changed;
@@ -272,13 +276,13 @@
     const std::vector<Item> after{{"k", "new", 12, false}, {"other", "x", 6, false}};
     table.applySnapshot(before, 6, changed);
     table.applySnapshot(after, 12, changed);
-    const auto told = table.changesAfter(table.resendAfter(6));
-    BOOST_REQUIRE_EQUAL(told.size(), 1U);
-    BOOST_TEST(told[0].value == "new");
+    const auto sent = table.changesAfter(table.resendAfter(6));
+    BOOST_REQUIRE_EQUAL(sent.size(), 1U);
+    BOOST_TEST(sent[0].value == "new");
     BOOST_TEST(table.hasGapAfter(6));
 }
 
-BOOST_AUTO_TEST_CASE(SeveralKeysOfOneRevisionAreToldTogether)
+BOOST_AUTO_TEST_CASE(KeysOfOneRevisionAreSentTogether)
 {
     ItemTable               table;
     std::vector<Item>       changed;
@@ -288,33 +292,34 @@
     table.apply(second, 7, changed);
     ItemTable other;
     other.applySnapshot(first, 5, changed);
-    const auto told = table.changesAfter(table.resendAfter(5));
-    other.apply({5, 7, table.hasGapAfter(5), told}, changed);
+    const auto sent = table.changesAfter(table.resendAfter(5));
+    other.apply({5, 7, table.hasGapAfter(5), sent}, changed);
     BOOST_REQUIRE_EQUAL(other.all().size(), 1U);
     BOOST_TEST(other.all()[0].key == "c");
     BOOST_TEST(other.changesAfter(5).size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(WhatACopyTakesBackItsFollowersTakeBackToo)
+BOOST_AUTO_TEST_CASE(RemovalsThatARelayInfersReachItsFollowers)
 {
-    // Two relays say that they are complete as of 44, and one of them is not: it lacks what was removed later.
-    // The other believes it; its follower heard before that and is told nothing more of that key.
+    // Two relays report to be complete as of revision 44, and one of them is not: it lacks a key that is removed later.
+    // The other relay applies its changes and drops the key; its own follower received the key before that and must be
+    // sent the removal.
     ItemTable               relay;
     ItemTable               follower;
     std::vector<Item>       changed;
-    const std::vector<Item> came{{brief, "ready", 43, false}};
+    const std::vector<Item> created{{brief, "ready", 43, false}};
     relay.applySnapshot(config, 42, changed);
-    relay.apply(came, 44, changed);
+    relay.apply(created, 44, changed);
     follower.applySnapshot(relay.all(), 44, changed);
-    const std::vector<Item> none;
-    relay.apply({42, 44, true, none}, changed);
+    const std::vector<Item> noItems;
+    relay.apply({42, 44, true, noItems}, changed);
     relay.applySnapshot(config, 49, changed);
-    const auto told = relay.changesAfter(relay.resendAfter(44));
-    follower.apply({relay.resendAfter(44), 49, relay.hasGapAfter(44), told}, changed);
+    const auto sent = relay.changesAfter(relay.resendAfter(44));
+    follower.apply({relay.resendAfter(44), 49, relay.hasGapAfter(44), sent}, changed);
     BOOST_TEST(follower.all().size() == relay.all().size());
 }
 
-BOOST_AUTO_TEST_CASE(AnEmptyStoreIsAPictureToo)
+BOOST_AUTO_TEST_CASE(AnEmptySnapshotRemovesAllKeys)
 {
     ItemTable               table;
     std::vector<Item>       changed;
@@ -326,20 +331,21 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// Three copies in a row with many gaps and many removals: what the first says
-/// is what the last holds, from whichever revision the last begins.
+/// Four copies in a chain with many gaps and many removals. Guards against a
+/// copy that is exact but lacks items of its revision, or keeps removed keys,
+/// whichever revision it begins from.
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(ThroughManyGapsAndForgottenRemovalsChainsOfCopiesAgree)
+BOOST_AUTO_TEST_CASE(ChainsOfCopiesAgreeAfterManyGapsAndDroppedRemovals)
 {
-    for (std::uint64_t seed = 1; seed <= schedules(60); ++seed)
+    for (std::uint64_t seed = 1; seed <= scheduleCount(60); ++seed)
     {
         core::Random                             random(seed);
         std::map<std::string, Item>              store;
-        std::map<std::uint64_t, decltype(store)> past;
+        std::map<std::uint64_t, decltype(store)> snapshots;
         std::uint64_t                            revision = 1;
         std::vector<ItemTable>                   chain(4);
         std::vector<Item>                        changed;
-        past[revision] = store;
+        snapshots[revision] = store;
         const auto all = [](const decltype(store)& items)
         {
             std::vector<Item> present;
@@ -347,7 +353,7 @@
                 present.push_back(item);
             return present;
         };
-        const auto tell = [&](const ItemTable& from, ItemTable& to)
+        const auto send = [&](const ItemTable& from, ItemTable& to)
         {
             if (!from.isExact() || from.revision() == 0)
                 return;
@@ -364,15 +370,15 @@
             ItemTable&        table = chain[index];
             switch (random.below(9))
             {
-            case 0: // A snapshot; the first copy's only, now and then another's
+            case 0: // Snapshot: always for the first copy, sometimes for another one
                 if (index == 0 || random.unit() < 0.2)
                     table.applySnapshot(all(store), revision, changed);
                 break;
-            case 1: // Start anew from an old reading
+            case 1: // Restart from an old read
                 if (random.unit() < 0.3)
                 {
-                    auto old = past.begin();
-                    std::advance(old, static_cast<std::ptrdiff_t>(random.below(past.size())));
+                    auto old = snapshots.begin();
+                    std::advance(old, static_cast<std::ptrdiff_t>(random.below(snapshots.size())));
                     std::uint64_t newest = 0;
                     for (const auto& [key, item] : old->second)
                         newest = std::max(newest, item.revision);
@@ -381,16 +387,16 @@
                         table.applyNonAtomicRead(all(old->second), newest, old->first, changed);
                 }
                 break;
-            case 2: // The whole history, as a watch tells it
-                // History from before the first moment that is kept is lost.
-                if (table.revision() >= past.begin()->first)
+            case 2: // Complete history, as a watch returns it
+                // The history before the first stored snapshot is lost.
+                if (table.revision() >= snapshots.begin()->first)
                 {
                     std::vector<Item> items;
-                    const auto        known = past.upper_bound(table.revision());
-                    if (known != past.begin())
+                    const auto        known = snapshots.upper_bound(table.revision());
+                    if (known != snapshots.begin())
                     {
                         std::map<std::string, Item> last;
-                        for (auto at = known; at != past.end(); ++at)
+                        for (auto at = known; at != snapshots.end(); ++at)
                         {
                             const auto& was = std::prev(at)->second;
                             for (const auto& [key, item] : was)
@@ -414,7 +420,7 @@
             case 4:
             case 5:
                 if (index > 0)
-                    tell(chain[random.below(index)], table);
+                    send(chain[random.below(index)], table);
                 break;
             default:
                 for (std::size_t burst = random.unit() < 0.03 ? 600 : 1; burst > 0; --burst)
@@ -424,27 +430,27 @@
                     if (store.erase(key) == 0)
                         store[key] = {key, std::to_string(revision), revision, false};
                 }
-                past[revision] = store;
-                while (past.size() > 40)
-                    past.erase(past.begin());
+                snapshots[revision] = store;
+                while (snapshots.size() > 40)
+                    snapshots.erase(snapshots.begin());
                 break;
             }
             if (!table.isExact() || table.revision() == 0)
                 continue;
-            const auto moment = past.find(table.revision());
-            if (moment == past.end())
+            const auto expected = snapshots.find(table.revision());
+            if (expected == snapshots.end())
                 continue;
-            std::map<std::string, Item> held;
+            std::map<std::string, Item> stored;
             for (const Item& item : table.all())
-                held[item.key] = item;
-            for (const auto& [key, item] : moment->second)
+                stored[item.key] = item;
+            for (const auto& [key, item] : expected->second)
             {
-                const auto found = held.find(key);
-                BOOST_REQUIRE_MESSAGE(found != held.end() && found->second.revision >= item.revision,
+                const auto found = stored.find(key);
+                BOOST_REQUIRE_MESSAGE(found != stored.end() && found->second.revision >= item.revision,
                                       "seed " << seed << ", step " << step << ": lacks " << key);
             }
-            for (const auto& [key, item] : held)
-                BOOST_REQUIRE_MESSAGE(moment->second.find(key) != moment->second.end() ||
+            for (const auto& [key, item] : stored)
+                BOOST_REQUIRE_MESSAGE(expected->second.find(key) != expected->second.end() ||
                                           item.revision > table.revision(),
                                       "seed " << seed << ", step " << step << ": copy " << index << " as of "
                                               << table.revision() << " keeps " << key << " of " << item.revision);
@@ -453,9 +459,9 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief Nodes that lack a change 1.9 s after it while the relays' words take up to 2.5 s; the store is well
+/// \brief Count the nodes that lack a change 1.9 s after it while updates of relays take up to 2.5 s; the store works
 ////////////////////////////////////////////////////////////
-std::size_t lackingBehind(std::size_t slowRelays, std::uint64_t seed, core::Duration& overstated)
+std::size_t nodesWithoutChange(std::size_t slowRelays, std::uint64_t seed, core::Duration& overstated)
 {
     constexpr std::size_t nodes = 13;
     ReplicaGroup          group(nodes, seed);
@@ -472,7 +478,7 @@
         ++slow;
     }
     group.pass(4s);
-    std::size_t most = 0;
+    std::size_t maxLacking = 0;
     for (int change = 0; change < 10; ++change)
     {
         group.write("config", "change " + std::to_string(change));
@@ -480,37 +486,38 @@
         std::size_t lacking = 0;
         for (std::size_t node = 0; node < nodes; ++node)
             lacking += group.valueAt(node, "config") != group.value("config") ? 1 : 0;
-        most = std::max(most, lacking);
+        maxLacking = std::max(maxLacking, lacking);
     }
     overstated = std::max(overstated, group.overstated());
-    return most;
+    return maxLacking;
 }
 
-BOOST_AUTO_TEST_CASE(BehindOneSlowRelayAllHearWithinTheBound)
+BOOST_AUTO_TEST_CASE(BehindOneSlowRelayAllNodesReceiveChangesInTime)
 {
     core::Duration overstated{};
     for (std::uint64_t seed = 1; seed <= 10; ++seed)
-        BOOST_TEST(lackingBehind(1, seed, overstated) == 0U, "seed " << seed);
-    BOOST_TEST_MESSAGE("overstated by ms at most: " << core::toMilliseconds(overstated));
+        BOOST_TEST(nodesWithoutChange(1, seed, overstated) == 0U, "seed " << seed);
+    BOOST_TEST_MESSAGE("age understated by at most (ms): " << core::toMilliseconds(overstated));
 }
 
-BOOST_AUTO_TEST_CASE(BehindTwoSlowRelaysAllHearWithinTheBound)
+BOOST_AUTO_TEST_CASE(BehindTwoSlowRelaysAllNodesReceiveChangesInTime)
 {
     core::Duration overstated{};
     for (std::uint64_t seed = 1; seed <= 10; ++seed)
     {
-        const std::size_t lacking = lackingBehind(2, seed, overstated);
-        BOOST_TEST(lacking == 0U, "seed " << seed << ": " << lacking << " lack it");
+        const std::size_t lacking = nodesWithoutChange(2, seed, overstated);
+        BOOST_TEST(lacking == 0U, "seed " << seed << ": " << lacking << " nodes lack the change");
     }
-    BOOST_TEST_MESSAGE("overstated by ms at most: " << core::toMilliseconds(overstated));
+    BOOST_TEST_MESSAGE("age understated by at most (ms): " << core::toMilliseconds(overstated));
 }
 
 ////////////////////////////////////////////////////////////
-/// Of a removal's 2 s, belief takes 1.1 s and a connection 0.3 s: a copy may
-/// say that it is fresher than it is by 0.6 s, or such a server is believed in
-/// for too long. Packets that wait under half a second disturb nobody.
+/// A removed server may receive requests for 2 s at most. A copy is trusted
+/// for 1.1 s of that and a connection attempt takes 0.3 s, so a copy may
+/// understate its age by 0.6 s at most. Packets delayed by less than half a
+/// second must not cause a larger error.
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(ThroughTwoHopsCopiesAreAboutAsOldAsTheySay)
+BOOST_AUTO_TEST_CASE(ThroughTwoHopsTheReportedAgeIsNearlyCorrect)
 {
     constexpr std::size_t nodes = 40;
     ReplicaGroup          group(nodes, 3);
@@ -527,7 +534,7 @@
     BOOST_TEST(core::toMilliseconds(group.overstated()) <= 600.0);
 }
 
-BOOST_AUTO_TEST_CASE(ThroughTwoSlowHopsAllHearWithinTheBound)
+BOOST_AUTO_TEST_CASE(ThroughTwoSlowHopsAllNodesReceiveChangesInTime)
 {
     constexpr std::size_t nodes = 40;
     ReplicaGroup          group(nodes, 3);
@@ -535,7 +542,7 @@
     group.pass(10s);
     group.slowLinks(1s, 1s);
     group.pass(4s);
-    std::size_t most = 0;
+    std::size_t maxLacking = 0;
     for (int change = 0; change < 10; ++change)
     {
         group.write("config", "change " + std::to_string(change));
@@ -543,17 +550,18 @@
         std::size_t lacking = 0;
         for (std::size_t node = 0; node < nodes; ++node)
             lacking += group.valueAt(node, "config") != group.value("config") ? 1 : 0;
-        most = std::max(most, lacking);
+        maxLacking = std::max(maxLacking, lacking);
         group.pass(300ms);
     }
-    BOOST_TEST(most == 0U);
+    BOOST_TEST(maxLacking == 0U);
 }
 
 ////////////////////////////////////////////////////////////
-/// What nodes may send again is a part for each node known; all parts together
-/// are to stay within the whole, also 0.6 of it as given out.
+/// Each node may use 0.6 of the retry budget divided by the number of nodes it
+/// knows. Guards against nodes that know too few others, so that all shares
+/// together exceed the whole budget.
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(PartsForEachNodeKnownStayWithinTheWhole)
+BOOST_AUTO_TEST_CASE(SharesPerKnownNodeStayWithinTheTotal)
 {
     constexpr std::size_t nodes = 90;
     for (const std::size_t dataCentres : {3U, 4U, 5U, 6U})
@@ -561,19 +569,20 @@
         ReplicaGroup group(nodes, 4, dataCentres);
         group.write("config", "1");
         group.pass(70s);
-        double   parts = 0;
-        unsigned least = static_cast<unsigned>(nodes);
+        double   shares = 0;
+        unsigned fewestNodes = static_cast<unsigned>(nodes);
         for (std::size_t node = 0; node < nodes; ++node)
         {
-            parts += 0.6 / group.replica(node).nodes(group.now());
-            least = std::min(least, group.replica(node).nodes(group.now()));
+            shares += 0.6 / group.replica(node).nodes(group.now());
+            fewestNodes = std::min(fewestNodes, group.replica(node).nodes(group.now()));
         }
-        BOOST_TEST_MESSAGE(dataCentres << " data centres: parts together " << parts << ", least count " << least);
-        BOOST_TEST(parts <= 1.0, dataCentres << " data centres: " << parts);
+        BOOST_TEST_MESSAGE(dataCentres << " data centres: sum of shares " << shares << ", lowest node count "
+                                       << fewestNodes);
+        BOOST_TEST(shares <= 1.0, dataCentres << " data centres: " << shares);
     }
 }
 
-BOOST_AUTO_TEST_CASE(ALargeFleetIsCountedWhole)
+BOOST_AUTO_TEST_CASE(EveryNodeOfALargeFleetIsCounted)
 {
     constexpr std::size_t nodes = 90;
     ReplicaGroup          group(nodes, 4);
@@ -585,12 +594,12 @@
     BOOST_TEST(fewer == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(SchedulesWithServersThatComeAndGo)
+BOOST_AUTO_TEST_CASE(SchedulesWithServersThatStartAndStop)
 {
     expectComplete({});
 }
 
-BOOST_AUTO_TEST_CASE(SchedulesWithReadingsInPages)
+BOOST_AUTO_TEST_CASE(SchedulesWithPagedReads)
 {
     expectComplete({{}, {}, 120ms});
 }
@@ -605,42 +614,42 @@
     expectComplete({{}, 700ms});
 }
 
-BOOST_AUTO_TEST_CASE(SchedulesWithVerySlowLinksAndPages)
+BOOST_AUTO_TEST_CASE(SchedulesWithVerySlowLinksAndPagedReads)
 {
     expectComplete({{}, 2500ms, 120ms});
 }
 
-BOOST_AUTO_TEST_CASE(SchedulesWithDeafWatches)
+BOOST_AUTO_TEST_CASE(SchedulesWithWatchesThatMissChanges)
 {
-    Trouble trouble;
-    trouble.deaf = true;
-    expectComplete(trouble);
+    Faults faults;
+    faults.missChanges = true;
+    expectComplete(faults);
 }
 
-BOOST_AUTO_TEST_CASE(SchedulesWithDeafWatchesAndPages)
+BOOST_AUTO_TEST_CASE(SchedulesWithWatchesThatMissChangesAndPagedReads)
 {
-    Trouble trouble;
-    trouble.deaf = true;
-    trouble.apart = 120ms;
-    expectComplete(trouble);
+    Faults faults;
+    faults.missChanges = true;
+    faults.pageInterval = 120ms;
+    expectComplete(faults);
 }
 
-BOOST_AUTO_TEST_CASE(SchedulesWithDeafWatchesThatNameTheLatestRevision)
+BOOST_AUTO_TEST_CASE(SchedulesWithWatchesThatMissChangesButNameTheLatestRevision)
 {
-    Trouble trouble;
-    trouble.deaf = true;
-    trouble.jumps = true;
-    expectComplete(trouble);
+    Faults faults;
+    faults.missChanges = true;
+    faults.nameLatestRevision = true;
+    expectComplete(faults);
 }
 
-BOOST_AUTO_TEST_CASE(SchedulesWithAllOfIt)
+BOOST_AUTO_TEST_CASE(SchedulesWithAllFaults)
 {
-    Trouble trouble;
-    trouble.storeBack = 600ms;
-    trouble.linkWay = 300ms;
-    trouble.apart = 120ms;
-    trouble.deaf = true;
-    expectComplete(trouble);
+    Faults faults;
+    faults.maxStoreDelay = 600ms;
+    faults.maxLinkDelay = 300ms;
+    faults.pageInterval = 120ms;
+    faults.missChanges = true;
+    expectComplete(faults);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/replication/removals/Removals.test.cpp
+++ b/test/replication/removals/Removals.test.cpp
@@ -1,4 +1,4 @@
-// What was removed from the store does not live on in a copy, however the copy was put together.
+// Guards against copies that keep keys removed from the store, whichever sources a copy was assembled from.
 
 #include <support/ReplicaGroup.hpp>
 
@@ -18,7 +18,7 @@
 using support::ReplicaGroup;
 
 constexpr core::Timestamp     start{1h};
-constexpr replication::LinkId acceptedLink = 2; // Links that peers opened have even numbers
+constexpr replication::LinkId acceptedLink = 2; // Links that peers open have even numbers
 
 ////////////////////////////////////////////////////////////
 Replica makeReplica(const std::string& address, std::vector<std::string> seeds)
@@ -42,9 +42,9 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief The link that a replica opened to its relay, once it is up
+/// \brief Open the link that a replica requested to its relay; return its number
 ////////////////////////////////////////////////////////////
-replication::LinkId linkOf(Replica& replica, core::Timestamp now)
+replication::LinkId openLink(Replica& replica, core::Timestamp now)
 {
     for (const auto& action : replica.takeActions())
     {
@@ -58,7 +58,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool has(const Replica& replica, const std::string& key)
+bool hasKey(const Replica& replica, const std::string& key)
 {
     const auto items = replica.table().all();
     return std::any_of(items.begin(), items.end(), [&](const Item& item) { return item.key == key; });
@@ -68,52 +68,52 @@
 
 BOOST_AUTO_TEST_SUITE(RemovalsTest)
 
-BOOST_AUTO_TEST_CASE(ANodeWithAnOlderReadingThanItsRelayKeepsNothingThatWasRemovedBetween)
+BOOST_AUTO_TEST_CASE(ANodeWithAnOlderReadThanItsRelayKeepsNoKeyRemovedInBetween)
 {
-    // "left" was removed at 180; the relay read the store after that and never knew of it.
+    // "left" was removed at revision 180; the relay read the store after that and never had the key.
     Replica relay = makeReplica("10.0.0.1:7000", {});
     relay.storeRead(std::vector<Item>{{"config", "1", 150, false}}, 190, start, start);
     Replica           node = makeReplica("10.0.0.9:7000", {"10.0.0.1:7000"});
-    const auto        link = linkOf(node, start);
+    const auto        link = openLink(node, start);
     const std::string left = "servers/left";
     node.storeRead(std::vector<Item>{{"config", "1", 150, false}, {left, "ready", 170, false}}, 170, {}, start + 5ms);
-    BOOST_TEST(has(node, left));
+    BOOST_TEST(hasKey(node, left));
 
     relay.helloReceived(acceptedLink, {{"10.0.0.9:7000", "dc", 0, 0}, 170}, start + 6ms);
     const auto update = lastUpdate(relay);
     BOOST_REQUIRE(update);
     node.updateReceived(link, *update, start + 7ms);
     BOOST_TEST(node.usable(start + 7ms));
-    BOOST_TEST(!has(node, left));
+    BOOST_TEST(!hasKey(node, left));
 }
 
-BOOST_AUTO_TEST_CASE(AnOldReadingThatComesBehindARelaysWordBringsNothingBack)
+BOOST_AUTO_TEST_CASE(AnOldReadAfterARelaysUpdateRestoresNothing)
 {
     Replica           node = makeReplica("10.0.0.9:7000", {"10.0.0.1:7000"});
-    const auto        link = linkOf(node, start);
+    const auto        link = openLink(node, start);
     const std::string left = "servers/left";
-    Update            whole;
-    whole.at = 190;
-    whole.full = true;
-    whole.items = {{"config", "1", 150, false}};
-    node.updateReceived(link, whole, start + 3ms);
+    Update            update;
+    update.at = 190;
+    update.full = true;
+    update.items = {{"config", "1", 150, false}};
+    node.updateReceived(link, update, start + 3ms);
     node.storeRead(std::vector<Item>{{"config", "1", 150, false}, {left, "ready", 170, false}}, 170, {}, start + 5ms);
-    BOOST_TEST(!has(node, left));
+    BOOST_TEST(!hasKey(node, left));
 }
 
-BOOST_AUTO_TEST_CASE(WhatCameAndWentWhileTheRelayHadNoHistoryIsGoneAtItsFollowersToo)
+BOOST_AUTO_TEST_CASE(KeysCreatedAndRemovedInARelaysGapAreRemovedAtItsFollowers)
 {
-    // The node heard of "brief" from another relay, which is gone; this relay lost the history from 100 to 140.
+    // The node received "brief" from the store at revision 110; the relay lost the history from 100 to 140.
     const std::string brief = "servers/brief";
     Replica           relay = makeReplica("10.0.0.1:7000", {});
     relay.storeRead(std::vector<Item>{{"config", "1", 90, false}}, 100, start, start);
     Replica    node = makeReplica("10.0.0.9:7000", {"10.0.0.1:7000"});
-    const auto link = linkOf(node, start);
+    const auto link = openLink(node, start);
     node.storeRead(std::vector<Item>{{"config", "1", 90, false}}, 100, start, start);
     relay.helloReceived(acceptedLink, {{"10.0.0.9:7000", "dc", 0, 0}, 100}, start + 1ms);
     node.updateReceived(link, lastUpdate(relay).value(), start + 2ms);
     node.storeChanged(std::vector<Item>{{brief, "ready", 110, false}}, 110, start + 10ms);
-    BOOST_TEST(has(node, brief));
+    BOOST_TEST(hasKey(node, brief));
 
     relay.historyLost(start + 100ms);
     relay.storeRead(std::vector<Item>{{"config", "1", 90, false}}, 140, start + 110ms, start + 120ms);
@@ -124,13 +124,14 @@
             node.updateReceived(link, sent->update, start + 201ms);
     }
     BOOST_TEST(node.table().revision() == 140U);
-    BOOST_TEST(!has(node, brief));
+    BOOST_TEST(!hasKey(node, brief));
 }
 
 ////////////////////////////////////////////////////////////
-/// Nodes start anew, from readings of different age, while keys come and go.
+/// Nodes restart from reads of different ages while keys are written and
+/// removed; a copy assembled from them must not keep a removed key.
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(WhileNodesStartAnewNoCopyKeepsWhatTheStoreRemoved)
+BOOST_AUTO_TEST_CASE(WhileNodesRestartNoCopyKeepsARemovedKey)
 {
     constexpr std::size_t nodes = 13;
     constexpr std::size_t keys = 12;
