--- a/include/sailpath/replication/Replica.hpp
+++ b/include/sailpath/replication/Replica.hpp
@@ -2,13 +2,13 @@
 
 #include <sailpath/core/Random.hpp>
 #include <sailpath/core/Time.hpp>
-#include <sailpath/replication/FirstCopy.hpp>
-#include <sailpath/replication/Introductions.hpp>
+#include <sailpath/replication/Bootstrap.hpp>
+#include <sailpath/replication/BootstrapRelays.hpp>
 #include <sailpath/replication/ItemSource.hpp>
 #include <sailpath/replication/ItemTable.hpp>
 #include <sailpath/replication/MemberList.hpp>
 #include <sailpath/replication/Message.hpp>
-#include <sailpath/replication/ServerNews.hpp>
+#include <sailpath/replication/ServerGossip.hpp>
 
 #include <cstdint>
 #include <deque>
@@ -62,7 +62,7 @@
 
 struct ReadStore //!< Read all items; answer with `storeRead` or `storeFailed`
 {
-    Reading freshness{Reading::Latest}; //!< How old the items may be
+    ReadMode freshness{ReadMode::Latest}; //!< How old the items may be
 };
 struct WatchStore //!< Wait for changes; answer with `storeChanged`, `historyLost` or `storeFailed`
 {
@@ -301,14 +301,14 @@
     ReplicaSettings                          m_settings;              //!< Settings
     core::Random                             m_random;                //!< For jitter
     core::Timestamp                          m_startedAt;             //!< When this replica was created
-    FirstCopy                                m_firstCopy;             //!< Decides how to obtain a first copy
+    Bootstrap                                m_firstCopy;             //!< Decides how to obtain a first copy
     ItemTable                                m_table;                 //!< The copy
     std::shared_ptr<const std::vector<Item>> m_wholeCopy;             //!< All items, shared by updates that hold all
     std::uint64_t                            m_wholeCopySequence{0};  //!< `ItemTable::sequence` of `m_wholeCopy`
-    ServerNews                               m_news;                  //!< Server reports that this node passes on
+    ServerGossip                               m_news;                  //!< Server reports that this node passes on
     core::Timestamp                          m_nextServerReport{};    //!< When reports that may wait are sent next
     core::Timestamp                          m_nextLimitReport{};     //!< When reports that hold limits are sent next
-    Introductions                            m_introductions;         //!< Relays that this node, as a seed, names
+    BootstrapRelays                            m_introductions;         //!< Relays that this node, as a seed, names
     std::uint64_t                            m_newNodes{0};           //!< Counts nodes heard of for the first time
     bool                                     m_rankingPending{false}; //!< Nodes were added since the last ranking
     std::set<std::string>                    m_fullCopyFrom; //!< Relays to ask for all items when their link opens
--- a/src/sailpath/replication/Replica.cpp
+++ b/src/sailpath/replication/Replica.cpp
@@ -51,47 +51,47 @@
 ////////////////////////////////////////////////////////////
 void Replica::serverFailed(std::uint32_t server, core::Timestamp now)
 {
-    m_news.saw(server);
+    m_news.recordFailure(server);
     tick(now);
 }
 
 ////////////////////////////////////////////////////////////
 void Replica::serverEnded(const EndRecord& record, core::Timestamp at, core::Timestamp now)
 {
-    m_news.sawEnd(record, at);
+    m_news.recordEnd(record, at);
     tick(now);
 }
 
 ////////////////////////////////////////////////////////////
 void Replica::requestServed(const core::ContentHash& content, core::Timestamp now)
 {
-    m_news.sawServed(content);
+    m_news.recordServed(content);
     tick(now);
 }
 
 ////////////////////////////////////////////////////////////
 void Replica::serverLimited(const LimitRecord& record, core::Timestamp at, core::Timestamp now)
 {
-    m_news.limited(record, at);
+    m_news.recordLimit(record, at);
     tick(now);
 }
 
 ////////////////////////////////////////////////////////////
 std::vector<ServerReport> Replica::takeServerReports()
 {
-    return m_news.takeNews();
+    return m_news.takeReceived();
 }
 
 ////////////////////////////////////////////////////////////
 bool Replica::shouldCallStore(core::Timestamp now) const
 {
     if (!hasCopy())
-        return m_firstCopy.readsStore(now);
+        return m_firstCopy.shouldReadStore(now);
     if (m_isWatcher || (!m_followers.empty() && !hasFreshRelay(now)))
         return true;
     if (hasCopy() && !proved())
         return now >= m_proveAt;
-    if (!m_followers.empty() && !m_table.exact())
+    if (!m_followers.empty() && !m_table.isExact())
         return true;
     if (age(now) > m_settings.staleAfter && now - m_startedAt > m_settings.startupPeriod)
         return true;
@@ -105,7 +105,7 @@
     cancelOverdueEarlyRead(now);
     if (m_storeState != StoreState::Idle || now < m_nextStoreCall)
         return;
-    if (!hasCopy() && m_firstCopy.readsEarly(now))
+    if (!hasCopy() && m_firstCopy.shouldReadEarly(now))
         return startEarlyRead(now);
     if (!shouldCallStore(now))
         return;
@@ -122,9 +122,9 @@
 void Replica::startEarlyRead(core::Timestamp now)
 {
     m_storeState = StoreState::Reading;
-    m_earlyReadDeadline = m_firstCopy.earlyReading(now);
+    m_earlyReadDeadline = m_firstCopy.beginEarlyRead(now);
     // An old reading suffices, because relays send the changes since then.
-    m_actions.push_back(ReadStore{Reading::MayBeOld});
+    m_actions.push_back(ReadStore{ReadMode::MayBeStale});
 }
 
 ////////////////////////////////////////////////////////////
@@ -142,10 +142,10 @@
 {
     m_storeState = StoreState::Watching;
     // A copy that is already old is proved at once; a watch with the usual timeout proves it only when it ends.
-    const bool proveNow = age(now) > m_settings.staleAfter / 4 || !m_table.exact();
+    const bool proveNow = age(now) > m_settings.staleAfter / 4 || !m_table.isExact();
     m_watchStartedAt = now;
     m_watchTimeout = proveNow ? core::Duration(immediateTimeout) : m_settings.watchTimeout;
-    m_actions.push_back(WatchStore{m_table.at(), m_watchTimeout});
+    m_actions.push_back(WatchStore{m_table.revision(), m_watchTimeout});
 }
 
 ////////////////////////////////////////////////////////////
@@ -169,13 +169,13 @@
     const bool first = !hasCopy();
     if (asOf)
     {
-        m_table.takeSnapshot(items, at, m_changes);
+        m_table.applySnapshot(items, at, m_changes);
         recordProof(*asOf, now);
     }
     else
-        m_table.takeReading(items, at, upTo, m_changes);
+        m_table.applyNonAtomicRead(items, at, upTo, m_changes);
     // The wait for relays began at the start, not after the reading; a node that is itself a relay does not wait.
-    const bool alone = m_firstCopy.relays() || m_relaysWithoutCopy >= m_settings.upstreamCount;
+    const bool alone = m_firstCopy.isRelay() || m_relaysWithoutCopy >= m_settings.upstreamCount;
     if (!proved())
         m_proveAt = alone ? now : std::max(now, m_startedAt + m_settings.proofWait);
     if (first && hasCopy())
@@ -193,7 +193,7 @@
     std::uint64_t latestChange = 0;
     for (const Item& item : items)
         latestChange = std::max(latestChange, item.revision);
-    if (items.empty() && at > m_table.at())
+    if (items.empty() && at > m_table.revision())
     {
         // The revision rose without a reported change: only a reading shows what changed.
         m_actions.push_back(LogEvent{"change-not-told", "", static_cast<double>(at)});
@@ -202,11 +202,11 @@
         return tick(now);
     }
     if (!items.empty())
-        m_table.take(items, std::min(latestChange, at), m_changes);
+        m_table.apply(items, std::min(latestChange, at), m_changes);
     // An answer without changes was given after the full wait, one with changes at some time after the call.
     const core::Timestamp answeredAt = items.empty() ? m_watchStartedAt + m_watchTimeout : m_watchStartedAt;
     recordProof(std::min(answeredAt, now), now);
-    m_needsRead = m_needsRead || (items.empty() && !m_followers.empty() && !m_table.exact());
+    m_needsRead = m_needsRead || (items.empty() && !m_followers.empty() && !m_table.isExact());
     if (!items.empty() && age(now) <= m_settings.staleAfter / 2)
         m_nextStoreCall = now + m_settings.watchPause;
     tick(now);
@@ -251,17 +251,17 @@
     found->second.open = true;
     if (!hasCopy())
     {
-        const std::vector<std::string> wanted = m_firstCopy.upstreams(now);
+        const std::vector<std::string> wanted = m_firstCopy.upstreamsToFollow(now);
         // If another seed connected first, one hello is enough: each seed introduces all nodes.
         if (std::find(wanted.begin(), wanted.end(), found->second.address) == wanted.end())
             return dropUpstream(link);
-        m_firstCopy.reached(found->second.address, now);
+        m_firstCopy.linkUp(found->second.address, now);
     }
     found->second.lastReceivedAt = now;
     found->second.helloSentAt = now;
-    found->second.sentReports = m_news.end();
+    found->second.sentReports = m_news.reportCount();
     const bool whole = m_fullCopyFrom.erase(found->second.address) > 0;
-    m_actions.push_back(SendHello{link, {m_settings.self, whole ? 0 : m_table.at(), true}});
+    m_actions.push_back(SendHello{link, {m_settings.self, whole ? 0 : m_table.revision(), true}});
 }
 
 ////////////////////////////////////////////////////////////
@@ -271,7 +271,7 @@
     if (found == m_upstreams.end())
         return;
     found->second.lastReceivedAt = now;
-    m_firstCopy.bytesCame(now);
+    m_firstCopy.updateProgressed(now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -285,7 +285,7 @@
         if (hasCopy())
             avoidRelay(address, now, "relay-lost");
         else
-            m_firstCopy.unreachable(address, now);
+            m_firstCopy.linkDown(address, now);
         recordRelayWithoutCopy(now);
     }
     m_followers.erase(link);
@@ -297,7 +297,7 @@
 {
     // As many relays as a node follows could not prove its first reading: all nodes may have just started, so this
     // node asks the store for the proof.
-    m_firstCopy.lacking();
+    m_firstCopy.peerHasNoCopy();
     ++m_relaysWithoutCopy;
     if (hasCopy() && !proved() && m_relaysWithoutCopy >= m_settings.upstreamCount)
         m_proveAt = std::min(m_proveAt, now);
@@ -333,7 +333,7 @@
         next = std::min(next, m_firstCopy.nextDue(m_now));
     if (m_earlyReadDeadline)
         next = std::min(next, *m_earlyReadDeadline);
-    if (const auto urgent = m_news.nextUrgent())
+    if (const auto urgent = m_news.nextReportDue())
         next = std::min(next, *urgent);
     next = std::min(next, serverReportsDue());
     if (const auto refresh = m_introductions.nextRefresh(m_newNodes))
@@ -348,7 +348,7 @@
 {
     const auto relay = std::find_if(m_upstreams.begin(), m_upstreams.end(),
                                     [](const auto& item) { return item.second.open && item.second.receivedUpdate; });
-    const bool waiting = relay != m_upstreams.end() && m_news.soonSince(relay->second.sentReports);
+    const bool waiting = relay != m_upstreams.end() && m_news.hasLimitsSince(relay->second.sentReports);
     return waiting ? m_nextLimitReport : m_now + maxTickInterval;
 }
 
@@ -387,7 +387,7 @@
 ////////////////////////////////////////////////////////////
 bool Replica::hasCopy() const
 {
-    return m_table.at() > 0;
+    return m_table.revision() > 0;
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/replication/ReplicaRelays.cpp
+++ b/src/sailpath/replication/ReplicaRelays.cpp
@@ -47,7 +47,7 @@
     std::vector<Candidate> candidates;
     // Before peers have told of other nodes, only seeds and nodes that seeds named rank as relays; otherwise every
     // node would be a relay.
-    const bool             introduced = m_firstCopy.relays() || hadFreshRelay();
+    const bool             introduced = m_firstCopy.isRelay() || hadFreshRelay();
     if (now - m_startedAt > m_settings.startupPeriod || m_settings.seeds.empty() || introduced)
         candidates.push_back({m_settings.self.capacity,
                               core::hash(m_settings.self.address),
@@ -85,7 +85,7 @@
 {
     if (!hasCopy())
     {
-        m_wantedUpstreams = m_firstCopy.upstreams(now);
+        m_wantedUpstreams = m_firstCopy.upstreamsToFollow(now);
         return;
     }
     if (now < m_nextRanking)
@@ -134,7 +134,7 @@
 {
     if (upstream.open)
         return m_settings.linkTimeout;
-    return hadFreshRelay() ? m_settings.connectTimeout : m_firstCopy.linkPatience(upstream.startedAt);
+    return hadFreshRelay() ? m_settings.connectTimeout : m_firstCopy.linkTimeout(upstream.startedAt);
 }
 
 ////////////////////////////////////////////////////////////
@@ -155,7 +155,7 @@
         if (hasCopy())
             avoidRelay(address, now, "relay-silent");
         else
-            m_firstCopy.unreachable(address, now);
+            m_firstCopy.linkDown(address, now);
     }
     updateRanking(now);
     const std::vector<std::string>& relays = m_wantedUpstreams;
--- a/src/sailpath/replication/ReplicaStart.cpp
+++ b/src/sailpath/replication/ReplicaStart.cpp
@@ -20,7 +20,7 @@
     for (const auto& [link, upstream] : m_upstreams)
     {
         if (upstream.open && !upstream.receivedUpdate)
-            m_actions.push_back(SendHello{link, {m_settings.self, m_table.at(), true}});
+            m_actions.push_back(SendHello{link, {m_settings.self, m_table.revision(), true}});
     }
     m_nextRanking = {};
 }
@@ -33,8 +33,8 @@
     const auto waiting = std::count_if(m_followers.begin(), m_followers.end(),
                                        [this](const auto& item)
                                        { return item.second.needsFullCopy && !isSeed(item.second.node.address); });
-    m_introductions.waiting(static_cast<std::size_t>(waiting), now);
-    if (m_introductions.wantsRefresh(m_newNodes, now))
+    m_introductions.updateWaiting(static_cast<std::size_t>(waiting), now);
+    if (m_introductions.needsRefresh(m_newNodes, now))
     {
         std::vector<NodeAddress> candidates = nodeList(now);
         // Seeds are not named as relays: introductions occupy them.
@@ -48,7 +48,7 @@
 {
     if (!isSeed(m_settings.self.address))
         return follower.sentNamesHash;
-    return isSeed(follower.node.address) ? m_newNodes : m_introductions.hashFor(follower.node);
+    return isSeed(follower.node.address) ? m_newNodes : m_introductions.relaysHashFor(follower.node);
 }
 
 ////////////////////////////////////////////////////////////
@@ -58,15 +58,15 @@
         return;
     follower.sentNamesHash = relayNamesHash(follower);
     // Seeds send each other all nodes, so that they name the same relays.
-    update.nodes = isSeed(follower.node.address) ? nodeList(now) : m_introductions.namesFor(follower.node);
+    update.nodes = isSeed(follower.node.address) ? nodeList(now) : m_introductions.relaysFor(follower.node);
 }
 
 ////////////////////////////////////////////////////////////
 bool Replica::refersToRelays(const Follower& follower, core::Timestamp now)
 {
-    if (!follower.needsFullCopy || !m_introductions.crowd())
+    if (!follower.needsFullCopy || !m_introductions.isCrowded())
         return false;
-    if (now - follower.connectedAt >= maxReferral && canServeFollowers() && m_introductions.mayServe(now))
+    if (now - follower.connectedAt >= maxReferral && canServeFollowers() && m_introductions.tryServe(now))
         return false;
     // A seed is occupied by introductions, and other seeds and relays need its copy first.
     return !isSeed(follower.node.address) && !m_introductions.isRelay(follower.node);
--- a/src/sailpath/replication/ReplicaUpdates.cpp
+++ b/src/sailpath/replication/ReplicaUpdates.cpp
@@ -44,10 +44,10 @@
     follower.node = hello.self;
     follower.sentRevision = hello.at;
     follower.sentSequence = m_table.sequence();
-    follower.needsFullCopy = hello.at == 0 || hello.at > m_table.at();
+    follower.needsFullCopy = hello.at == 0 || hello.at > m_table.revision();
     follower.supportsWhole = hello.packs;
     follower.connectedAt = now;
-    follower.sentReports = m_news.end();
+    follower.sentReports = m_news.reportCount();
     m_followers[link] = follower;
     tick(now);
 }
@@ -60,7 +60,7 @@
         return;
     for (const NodeAddress& node : update.nodes)
         recordNode(node, now);
-    m_news.heard(update.news, {link, true}, now);
+    m_news.receive(update.news, {link, true}, now);
     upstream->second.lastReceivedAt = now;
     const core::Duration transit = transitTime(update, upstream->second, now);
     // A late update counts from its sending time: a node that receives old updates only knows as little as a node that
@@ -73,14 +73,14 @@
     if (update.at == 0)
     {
         if (!hasCopy() && isSeed(upstream->second.address))
-            m_firstCopy.named(update.nodes, now);
+            m_firstCopy.setRelays(update.nodes, now);
         if (!hasCopy() && update.illAgeMs < recentStoreFailureMs)
-            m_firstCopy.storeIll(now, m_random);
+            m_firstCopy.peerStoreFailed(now, m_random);
         recordRelayWithoutCopy(now);
         return tick(now);
     }
     auto large = unpackLargeItems(update);
-    if (update.after > m_table.at() || !large)
+    if (update.after > m_table.revision() || !large)
     {
         // The changes in between, or the base of a packed value, are missing here: the link is opened anew.
         if (!large)
@@ -92,7 +92,7 @@
     upstream->second.receivedUpdate = true;
     large->insert(large->end(), update.items.begin(), update.items.end());
     const bool first = !hasCopy();
-    applyUpdate(upstream->second.address, update, update.whole ? std::span<const Item>(*update.whole) : *large);
+    applyUpdate(upstream->second.address, update, update.sharedItems ? std::span<const Item>(*update.sharedItems) : *large);
     if (first && hasCopy())
         firstCopyReceived();
     const core::Duration copyAge = core::Duration(std::chrono::milliseconds{update.ageMs}) + transit;
@@ -164,15 +164,15 @@
     // to all nodes.
     const auto relay = std::find_if(m_upstreams.begin(), m_upstreams.end(),
                                     [](const auto& item) { return item.second.open && item.second.receivedUpdate; });
-    if (relay == m_upstreams.end() || relay->second.sentReports == m_news.end())
+    if (relay == m_upstreams.end() || relay->second.sentReports == m_news.reportCount())
         return;
-    const bool waits = now < m_nextServerReport && !m_news.urgentSince(relay->second.sentReports);
-    if (waits && (now < m_nextLimitReport || !m_news.soonSince(relay->second.sentReports)))
+    const bool waits = now < m_nextServerReport && !m_news.hasUrgentSince(relay->second.sentReports);
+    if (waits && (now < m_nextLimitReport || !m_news.hasLimitsSince(relay->second.sentReports)))
         return;
-    m_nextLimitReport = now + ServerNews::gather;
+    m_nextLimitReport = now + ServerGossip::batchDelay;
     m_nextServerReport = now + m_settings.heartbeatInterval;
-    auto reports = m_news.forRelay(relay->second.sentReports);
-    relay->second.sentReports = m_news.end();
+    auto reports = m_news.reportsForRelay(relay->second.sentReports);
+    relay->second.sentReports = m_news.reportCount();
     if (!reports.empty())
         m_actions.push_back(SendReport{relay->first, {{}, std::move(reports)}});
 }
@@ -180,7 +180,7 @@
 ////////////////////////////////////////////////////////////
 void Replica::reportReceived(LinkId link, const Report& report, core::Timestamp now)
 {
-    m_news.heard(report.news, {link, false}, now);
+    m_news.receive(report.news, {link, false}, now);
     for (const NodeAddress& node : report.nodes)
         recordNode(node, now);
     tick(now);
@@ -190,12 +190,12 @@
 void Replica::packLargeItems(Update& update, std::uint64_t sentRevision)
 {
     const auto        small = std::stable_partition(update.items.begin(), update.items.end(),
-                                                    [](const Item& item) { return item.value.size() < largeValue; });
+                                                    [](const Item& item) { return item.value.size() < largeValueSize; });
     std::vector<Item> whole;
     for (auto item = small; item != update.items.end(); ++item)
     {
-        const Item* const base = m_table.asOf(item->key, sentRevision);
-        if (base != nullptr && base->revision < item->revision && base->value.size() >= largeValue)
+        const Item* const base = m_table.itemAsOf(item->key, sentRevision);
+        if (base != nullptr && base->revision < item->revision && base->value.size() >= largeValueSize)
             update.packed.push_back(packedItem(*item, *base));
         else
             whole.push_back(std::move(*item));
@@ -226,13 +226,13 @@
     std::vector<Item> items;
     for (const PackedItem& large : update.packed)
     {
-        const Item* const newest = m_table.asOf(large.key, std::numeric_limits<std::uint64_t>::max());
+        const Item* const newest = m_table.itemAsOf(large.key, std::numeric_limits<std::uint64_t>::max());
         if (newest != nullptr && newest->revision >= large.revision)
         {
             items.push_back(*newest);
             continue;
         }
-        const Item* const base = m_table.asOf(large.key, large.base);
+        const Item* const base = m_table.itemAsOf(large.key, large.base);
         if (base == nullptr || base->revision != large.base)
             return std::nullopt;
         auto value = unpackValue(large.packed, base->value);
@@ -248,10 +248,10 @@
 {
     // Nodes of former versions do not state the revision after which their updates begin.
     if (!update.full && update.after == 0)
-        return m_table.take(items, update.at, m_changes);
+        return m_table.apply(items, update.at, m_changes);
     if (!update.full)
-        return m_table.take({update.after, update.at, update.gapped, items}, m_changes);
-    m_table.takeSnapshot(items, update.at, m_changes);
+        return m_table.apply({update.after, update.at, update.gapped, items}, m_changes);
+    m_table.applySnapshot(items, update.at, m_changes);
     m_needsRead = false;
     m_actions.push_back(LogEvent{"whole-copy-from-relay", relay, static_cast<double>(update.at)});
 }
@@ -268,13 +268,13 @@
             known->second.lastHeardAt = now;
         // Changes are sent at once, and so is a newer proof of the copy, because the copy ages at each hop.
         const bool fresher = m_provedAt > follower.sentProvedAt + freshnessGain;
-        const bool hasChanges = m_table.at() > follower.sentRevision || m_table.sequence() != follower.sentSequence;
+        const bool hasChanges = m_table.revision() > follower.sentRevision || m_table.sequence() != follower.sentSequence;
         const bool sendItems = canServeFollowers() && !refersToRelays(follower, now);
-        if (m_news.urgentSince(follower.sentReports))
+        if (m_news.hasUrgentSince(follower.sentReports))
             follower.nextUpdateAt = std::min(follower.nextUpdateAt, follower.lastSentAt + m_settings.batchDelay);
-        else if (m_news.soonSince(follower.sentReports))
+        else if (m_news.hasLimitsSince(follower.sentReports))
             follower.nextUpdateAt =
-                std::min<core::Timestamp>(follower.nextUpdateAt, follower.lastSentAt + ServerNews::gather);
+                std::min<core::Timestamp>(follower.nextUpdateAt, follower.lastSentAt + ServerGossip::batchDelay);
         if (sendItems && follower.needsFullCopy)
             follower.nextUpdateAt = now;
         else if (sendItems && (hasChanges || fresher))
@@ -295,21 +295,21 @@
 void Replica::sendUpdate(LinkId link, Follower& follower, bool sendItems, core::Timestamp now)
 {
     Update update;
-    update.at = sendItems ? m_table.at() : 0;
+    update.at = sendItems ? m_table.revision() : 0;
     update.ageMs = ageInMs(m_provedAt, now);
     update.illAgeMs = ageInMs(m_storeFailedAt, now);
     update.sentMs = static_cast<std::uint64_t>(core::toMilliseconds(now.time_since_epoch()));
     if (update.at > 0 && follower.needsFullCopy)
-        m_introductions.served(now);
+        m_introductions.copySent(now);
     if (update.at > 0)
         addItems(update, follower);
     if (update.at == 0 && follower.needsFullCopy)
         addRelayNames(update, follower, now);
     else
         addNodes(update, follower, now);
-    update.news = m_news.forFollower(follower.sentReports, link);
+    update.news = m_news.reportsForFollower(follower.sentReports, link);
     addLimits(update, follower, now);
-    follower.sentReports = m_news.end();
+    follower.sentReports = m_news.reportCount();
     follower.lastSentAt = now;
     follower.sentProvedAt = m_provedAt;
     follower.nextUpdateAt = now + m_settings.heartbeatInterval;
@@ -323,7 +323,7 @@
     if (follower.limitsSent || update.at == 0)
         return;
     follower.limitsSent = true;
-    if (auto report = m_news.limitsInForce(now))
+    if (auto report = m_news.currentLimits(now))
         update.news.push_back(std::move(*report));
 }
 
@@ -331,16 +331,16 @@
 void Replica::addItems(Update& update, Follower& follower)
 {
     const bool lost = follower.sentSequence < m_table.oldestSequence();
-    update.after = follower.needsFullCopy || lost ? 0 : m_table.tellAfter(follower.sentRevision);
+    update.after = follower.needsFullCopy || lost ? 0 : m_table.resendAfter(follower.sentRevision);
     update.full = update.after == 0;
-    update.gapped = m_table.gapAfter(update.after);
+    update.gapped = m_table.hasGapAfter(update.after);
     if (update.full && follower.supportsWhole)
-        update.whole = wholeCopy();
+        update.sharedItems = wholeCopy();
     else
-        update.items = update.full ? m_table.all() : m_table.since(update.after);
+        update.items = update.full ? m_table.all() : m_table.changesAfter(update.after);
     if (!update.full)
     {
-        const auto late = m_table.late(follower.sentSequence, update.after);
+        const auto late = m_table.lateChanges(follower.sentSequence, update.after);
         update.items.insert(update.items.end(), late.begin(), late.end());
         packLargeItems(update, follower.sentRevision);
     }
@@ -378,7 +378,7 @@
 ////////////////////////////////////////////////////////////
 bool Replica::canServeFollowers() const
 {
-    return proved() && m_table.exact();
+    return proved() && m_table.isExact();
 }
 
 } // namespace sailpath::replication
--- a/test/replication/ItemTable.test.cpp
+++ b/test/replication/ItemTable.test.cpp
@@ -8,21 +8,21 @@
 using sailpath::replication::ItemTable;
 
 ////////////////////////////////////////////////////////////
-/// \brief Take a whole picture in every way that one may come
+/// \brief Apply an outdated list of all items in every way in which a table may receive one
 ////////////////////////////////////////////////////////////
-void takeOld(ItemTable& table, const std::vector<Item>& picture, std::uint64_t at, std::vector<Item>& changed)
+void applyOutdated(ItemTable& table, const std::vector<Item>& items, std::uint64_t at, std::vector<Item>& changed)
 {
-    table.takeSnapshot(picture, at, changed);
-    table.takeReading(picture, at, at, changed);
+    table.applySnapshot(items, at, changed);
+    table.applyNonAtomicRead(items, at, at, changed);
     for (const bool gapped : {false, true})
-        table.take({0, at, gapped, picture}, changed);
+        table.apply({0, at, gapped, items}, changed);
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(ItemTableTest)
 
-BOOST_AUTO_TEST_CASE(AChangeCostsTheSameWhateverTheNumberOfItems)
+BOOST_AUTO_TEST_CASE(TheCostOfAChangeDoesNotDependOnTheNumberOfItems)
 {
     for (const unsigned servers : {250U, 1000U, 4000U, 20000U})
     {
@@ -31,232 +31,232 @@
         std::vector<Item> all;
         for (unsigned i = 1; i <= servers; ++i)
             all.push_back({"servers/" + std::to_string(i), "x", i, false});
-        table.takeSnapshot(all, servers, changed);
-        const auto before = table.looked();
-        // Ten changes, each told to 25 followers and taken from a relay.
+        table.applySnapshot(all, servers, changed);
+        const auto before = table.examinedItems();
+        // Ten changes, each received from a relay and sent to 25 followers.
         for (unsigned i = 1; i <= 10; ++i)
         {
             const std::uint64_t     at = servers + i;
-            const std::vector<Item> one{{"servers/" + std::to_string(i), "y", at, i % 2 == 0}};
-            table.take({at - 1, at, false, one}, changed);
+            const std::vector<Item> changes{{"servers/" + std::to_string(i), "y", at, i % 2 == 0}};
+            table.apply({at - 1, at, false, changes}, changed);
             for (unsigned follower = 0; follower < 25; ++follower)
-                BOOST_TEST(table.since(at - 1).size() == 1U);
+                BOOST_TEST(table.changesAfter(at - 1).size() == 1U);
         }
-        BOOST_TEST(table.looked() - before <= 260U, servers);
+        BOOST_TEST(table.examinedItems() - before <= 260U, servers);
     }
 }
 
-BOOST_AUTO_TEST_CASE(RemovalsInNumberAreForgottenTheOldestFirst)
+BOOST_AUTO_TEST_CASE(TheOldestRemovalsAreDroppedFirst)
 {
     ItemTable         table;
     std::vector<Item> changed;
     for (unsigned i = 1; i <= 2000; ++i)
     {
         const std::vector<Item> gone{{"servers/" + std::to_string(i), "", i, true}};
-        table.take(gone, i, changed);
+        table.apply(gone, i, changed);
     }
-    BOOST_TEST(table.since(1999).size() == 1U);
-    BOOST_TEST(table.since(1990).size() == 10U);
-    BOOST_TEST(table.tellAfter(1990) == 1990U);
-    BOOST_TEST(table.tellAfter(100) == 0U); // What was forgotten then is told by the whole picture only
+    BOOST_TEST(table.changesAfter(1999).size() == 1U);
+    BOOST_TEST(table.changesAfter(1990).size() == 10U);
+    BOOST_TEST(table.resendAfter(1990) == 1990U);
+    BOOST_TEST(table.resendAfter(100) == 0U); // Removals dropped since then are conveyed by all items only
 }
 
-BOOST_AUTO_TEST_CASE(WhatChangedLongAgoIsFoundAsWell)
+BOOST_AUTO_TEST_CASE(ChangesOutsideTheIndexAreFound)
 {
-    // More changes than are kept in order.
+    // Make more changes than the index by revision holds.
     ItemTable         table;
     std::vector<Item> changed;
     for (unsigned i = 1; i <= 9000; ++i)
     {
-        const std::vector<Item> one{{"servers/" + std::to_string(i % 6000), "x", i, false}};
-        table.take(one, i, changed);
+        const std::vector<Item> changes{{"servers/" + std::to_string(i % 6000), "x", i, false}};
+        table.apply(changes, i, changed);
     }
-    BOOST_TEST(table.since(3000).size() == 6000U);
-    BOOST_TEST(table.since(8500).size() == 500U);
-    BOOST_TEST(table.since(0).size() == 6000U);
+    BOOST_TEST(table.changesAfter(3000).size() == 6000U);
+    BOOST_TEST(table.changesAfter(8500).size() == 500U);
+    BOOST_TEST(table.changesAfter(0).size() == 6000U);
 }
 
-BOOST_AUTO_TEST_CASE(AKeyOnlyMovesToHigherRevisions)
+BOOST_AUTO_TEST_CASE(TheRevisionOfAKeyNeverDecreases)
 {
     ItemTable               table;
     std::vector<Item>       changed;
     const std::vector<Item> newer{{"k", "new", 7, false}};
     const std::vector<Item> older{{"k", "old", 5, false}};
-    table.take(newer, 7, changed);
-    table.take(older, 7, changed);
+    table.apply(newer, 7, changed);
+    table.apply(older, 7, changed);
     BOOST_REQUIRE_EQUAL(changed.size(), 1U);
     BOOST_TEST(table.all()[0].value == "new");
-    BOOST_TEST(table.at() == 7U);
+    BOOST_TEST(table.revision() == 7U);
 }
 
-BOOST_AUTO_TEST_CASE(AWholePictureRemovesWhatItLacksUnlessThatIsNewer)
+BOOST_AUTO_TEST_CASE(ASnapshotRemovesUnlistedKeysUnlessTheyAreNewer)
 {
     ItemTable               table;
     std::vector<Item>       changed;
     const std::vector<Item> before{{"gone", "x", 3, false}, {"newer", "y", 12, false}, {"stays", "z", 4, false}};
-    // Read in pages: some items are newer than what all are known to be of.
-    table.take(before, 9, changed);
+    // The items are read in pages: some are newer than the revision as of which all are known.
+    table.apply(before, 9, changed);
     changed.clear();
-    const std::vector<Item> picture{{"stays", "z", 4, false}};
-    table.takeSnapshot(picture, 10, changed);
+    const std::vector<Item> items{{"stays", "z", 4, false}};
+    table.applySnapshot(items, 10, changed);
     BOOST_REQUIRE_EQUAL(changed.size(), 1U);
     BOOST_TEST(changed[0].key == "gone");
     BOOST_TEST(changed[0].gone);
     BOOST_TEST(table.all().size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(RemovalsAreTold)
+BOOST_AUTO_TEST_CASE(ChangesIncludeRemovals)
 {
     ItemTable               table;
     std::vector<Item>       changed;
-    const std::vector<Item> one{{"k", "x", 3, false}};
-    const std::vector<Item> none{{"k", "", 5, true}};
-    table.take(one, 3, changed);
-    table.take(none, 5, changed);
-    const auto told = table.since(3);
-    BOOST_REQUIRE_EQUAL(told.size(), 1U);
-    BOOST_TEST(told[0].gone);
-    BOOST_TEST(table.since(5).empty());
+    const std::vector<Item> changes{{"k", "x", 3, false}};
+    const std::vector<Item> removal{{"k", "", 5, true}};
+    table.apply(changes, 3, changed);
+    table.apply(removal, 5, changed);
+    const auto sent = table.changesAfter(3);
+    BOOST_REQUIRE_EQUAL(sent.size(), 1U);
+    BOOST_TEST(sent[0].gone);
+    BOOST_TEST(table.changesAfter(5).empty());
 }
 
-BOOST_AUTO_TEST_CASE(ForgottenRemovalsAreKnownToBeForgotten)
+BOOST_AUTO_TEST_CASE(AfterDroppedRemovalsAnOlderCopyNeedsAllItems)
 {
     ItemTable         table;
     std::vector<Item> changed;
     for (std::uint64_t revision = 1; revision <= 2000; ++revision)
     {
         const std::vector<Item> item{{"k" + std::to_string(revision / 2), "", revision, revision % 2 == 1}};
-        table.take(item, revision, changed);
+        table.apply(item, revision, changed);
     }
-    BOOST_TEST(table.tellAfter(1) == 0U);
-    BOOST_TEST(table.tellAfter(2000) == 2000U);
+    BOOST_TEST(table.resendAfter(1) == 0U);
+    BOOST_TEST(table.resendAfter(2000) == 2000U);
 }
 
-BOOST_AUTO_TEST_CASE(AnOlderPictureAddsNothing)
+BOOST_AUTO_TEST_CASE(AnOlderSnapshotAddsNothing)
 {
     ItemTable               table;
     std::vector<Item>       changed;
-    const std::vector<Item> whole{{"stays", "z", 4, false}};
-    table.takeSnapshot(whole, 10, changed);
+    const std::vector<Item> snapshot{{"stays", "z", 4, false}};
+    table.applySnapshot(snapshot, 10, changed);
     changed.clear();
-    const std::vector<Item> old{{"left", "x", 3, false}, {"stays", "z", 4, false}};
-    table.takeReading(old, 4, 6, changed);
-    table.takeSnapshot(old, 8, changed);
+    const std::vector<Item> outdated{{"left", "x", 3, false}, {"stays", "z", 4, false}};
+    table.applyNonAtomicRead(outdated, 4, 6, changed);
+    table.applySnapshot(outdated, 8, changed);
     BOOST_TEST(changed.empty());
     BOOST_TEST(table.all().size() == 1U);
-    BOOST_TEST(table.at() == 10U);
-    BOOST_TEST(table.exact());
+    BOOST_TEST(table.revision() == 10U);
+    BOOST_TEST(table.isExact());
 }
 
-BOOST_AUTO_TEST_CASE(WhoKnowsAPartOfAGapIsToldAllSinceItsBeginning)
+BOOST_AUTO_TEST_CASE(ACopyWithinAGapIsSentAllChangesSinceItsBeginning)
 {
     ItemTable               table;
     std::vector<Item>       changed;
     const std::vector<Item> items{{"k", "x", 3, false}};
-    table.takeSnapshot(items, 5, changed);
-    table.take(items, 20, changed);
-    BOOST_TEST(!table.gapAfter(5));
-    table.takeSnapshot(items, 30, changed);
-    BOOST_TEST(table.tellAfter(4) == 0U); // Before the first reading: the whole picture
-    BOOST_TEST(table.tellAfter(5) == 5U);
-    BOOST_TEST(table.tellAfter(20) == 20U);
-    BOOST_TEST(table.tellAfter(25) == 20U);
-    BOOST_TEST(table.tellAfter(30) == 30U);
-    BOOST_TEST(table.gapAfter(20));
-    BOOST_TEST(!table.gapAfter(30));
+    table.applySnapshot(items, 5, changed);
+    table.apply(items, 20, changed);
+    BOOST_TEST(!table.hasGapAfter(5));
+    table.applySnapshot(items, 30, changed);
+    BOOST_TEST(table.resendAfter(4) == 0U); // A copy older than the first snapshot needs all items
+    BOOST_TEST(table.resendAfter(5) == 5U);
+    BOOST_TEST(table.resendAfter(20) == 20U);
+    BOOST_TEST(table.resendAfter(25) == 20U);
+    BOOST_TEST(table.resendAfter(30) == 30U);
+    BOOST_TEST(table.hasGapAfter(20));
+    BOOST_TEST(!table.hasGapAfter(30));
 }
 
-BOOST_AUTO_TEST_CASE(AReadingThatIsNoSnapshotLeavesItsGapOpenUntilAllOfItsTimeIsTaken)
+BOOST_AUTO_TEST_CASE(TheGapOfANonAtomicReadStaysOpenUntilItsHighestRevision)
 {
     ItemTable               table;
     std::vector<Item>       changed;
     const std::vector<Item> items{{"k", "x", 3, false}};
-    table.takeReading(items, 3, 10, changed);
-    BOOST_TEST(!table.exact());
-    table.take(items, 9, changed);
-    BOOST_TEST(!table.exact());
-    BOOST_TEST(table.tellAfter(9) == 0U);
-    table.take(items, 10, changed);
-    BOOST_TEST(table.exact());
-    BOOST_TEST(table.tellAfter(9) == 0U);
-    BOOST_TEST(table.tellAfter(10) == 10U);
+    table.applyNonAtomicRead(items, 3, 10, changed);
+    BOOST_TEST(!table.isExact());
+    table.apply(items, 9, changed);
+    BOOST_TEST(!table.isExact());
+    BOOST_TEST(table.resendAfter(9) == 0U);
+    table.apply(items, 10, changed);
+    BOOST_TEST(table.isExact());
+    BOOST_TEST(table.resendAfter(9) == 0U);
+    BOOST_TEST(table.resendAfter(10) == 10U);
 }
 
-BOOST_AUTO_TEST_CASE(WhatAnotherCopyDoesNotListOfItsChangesIsGone)
+BOOST_AUTO_TEST_CASE(ItemsThatAPeersChangesDoNotListAreRemoved)
 {
     ItemTable               table;
     std::vector<Item>       changed;
     const std::vector<Item> items{{"old", "x", 3, false}, {"brief", "y", 8, false}};
-    table.takeSnapshot(items, 8, changed);
+    table.applySnapshot(items, 8, changed);
     changed.clear();
-    const std::vector<Item> told{{"new", "z", 11, false}};
-    table.take({5, 12, true, told}, changed);
+    const std::vector<Item> sent{{"new", "z", 11, false}};
+    table.apply({5, 12, true, sent}, changed);
     BOOST_REQUIRE_EQUAL(changed.size(), 2U);
     BOOST_TEST(changed[0].key == "brief");
     BOOST_TEST(changed[0].gone);
     BOOST_TEST(table.all().size() == 2U);
-    // The other copy's gap is this one's too, from its beginning.
-    BOOST_TEST(table.tellAfter(10) == 5U);
+    // The table takes over the other copy's gap, from its beginning.
+    BOOST_TEST(table.resendAfter(10) == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(WhoTookAnothersGapTellsFromItsBeginning)
+BOOST_AUTO_TEST_CASE(APeersGapIsResentFromItsBeginning)
 {
-    // Another copy went from 31 to 37 by a reading of several moments, and infers that "left" went, at 33. This copy was
-    // at 33 already, as is a third one that still has "left": it has to be told of what bears revision 33.
+    // Another copy advanced from revision 31 to 37 by a non-atomic read and inferred the removal of "left", at 33. This
+    // table had revision 33 before, like a third copy that still has "left" and has to be sent changes of revision 33.
     std::vector<Item> changed;
     ItemTable         table;
-    table.takeSnapshot(std::vector<Item>{{"config", "1", 20, false}, {"left", "ready", 31, false}}, 31, changed);
-    table.take(std::vector<Item>{{"new", "ready", 32, false}}, 33, changed);
-    const std::vector<Item> told{{"left", "", 33, true}, {"new", "ready", 32, false}, {"gone", "", 37, true}};
-    table.take({31, 37, true, told}, changed);
-    BOOST_TEST(table.tellAfter(33) == 31U);
-    const auto items = table.since(table.tellAfter(33));
+    table.applySnapshot(std::vector<Item>{{"config", "1", 20, false}, {"left", "ready", 31, false}}, 31, changed);
+    table.apply(std::vector<Item>{{"new", "ready", 32, false}}, 33, changed);
+    const std::vector<Item> sent{{"left", "", 33, true}, {"new", "ready", 32, false}, {"gone", "", 37, true}};
+    table.apply({31, 37, true, sent}, changed);
+    BOOST_TEST(table.resendAfter(33) == 31U);
+    const auto items = table.changesAfter(table.resendAfter(33));
     BOOST_TEST(
         std::any_of(items.begin(), items.end(), [](const Item& item) { return item.key == "left" && item.gone; }));
-    BOOST_TEST(table.tellAfter(37) == 37U);
+    BOOST_TEST(table.resendAfter(37) == 37U);
 }
 
-BOOST_AUTO_TEST_CASE(WhoIsWithinTwoGapsIsToldFromTheFirstBeginning)
+BOOST_AUTO_TEST_CASE(ACopyWithinTwoGapsIsSentChangesSinceTheFirstBeginning)
 {
     std::vector<Item> changed;
     ItemTable         table;
-    table.takeSnapshot(std::vector<Item>{{"config", "1", 20, false}}, 20, changed);
-    table.take({20, 30, true, {}}, changed);
-    table.take({25, 37, true, {}}, changed);
-    BOOST_TEST(table.tellAfter(28) == 20U);
-    BOOST_TEST(table.tellAfter(33) == 25U);
+    table.applySnapshot(std::vector<Item>{{"config", "1", 20, false}}, 20, changed);
+    table.apply({20, 30, true, {}}, changed);
+    table.apply({25, 37, true, {}}, changed);
+    BOOST_TEST(table.resendAfter(28) == 20U);
+    BOOST_TEST(table.resendAfter(33) == 25U);
 }
 
-BOOST_AUTO_TEST_CASE(AnOldPictureBringsBackNothingThatWasRemoved)
+BOOST_AUTO_TEST_CASE(AnOutdatedSnapshotRestoresNoRemovedKey)
 {
     ItemTable               table;
     std::vector<Item>       changed;
-    const std::vector<Item> one{{"k", "ready", 3, false}, {"other", "x", 4, false}};
-    const std::vector<Item> none{{"k", "", 5, true}};
-    table.take(one, 4, changed);
-    table.take(none, 5, changed);
+    const std::vector<Item> changes{{"k", "ready", 3, false}, {"other", "x", 4, false}};
+    const std::vector<Item> removal{{"k", "", 5, true}};
+    table.apply(changes, 4, changed);
+    table.apply(removal, 5, changed);
     changed.clear();
-    takeOld(table, one, 4, changed);
+    applyOutdated(table, changes, 4, changed);
     BOOST_TEST(changed.empty());
     BOOST_TEST(table.all().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(AnOldPictureBringsBackNothingWhoseRemovalWasForgotten)
+BOOST_AUTO_TEST_CASE(AnOutdatedSnapshotRestoresNoKeyWhoseRemovalWasDropped)
 {
     ItemTable               table;
     std::vector<Item>       changed;
-    const std::vector<Item> one{{"k", "ready", 3, false}, {"other", "x", 4, false}};
-    const std::vector<Item> none{{"k", "", 5, true}};
-    table.take(one, 4, changed);
-    table.take(none, 5, changed);
+    const std::vector<Item> changes{{"k", "ready", 3, false}, {"other", "x", 4, false}};
+    const std::vector<Item> removal{{"k", "", 5, true}};
+    table.apply(changes, 4, changed);
+    table.apply(removal, 5, changed);
     for (std::uint64_t revision = 6; revision <= 2006; ++revision)
     {
         const std::vector<Item> item{{"n" + std::to_string(revision / 2), "", revision, revision % 2 == 1}};
-        table.take(item, revision, changed);
+        table.apply(item, revision, changed);
     }
-    BOOST_REQUIRE(table.tellAfter(5) == 0U);
+    BOOST_REQUIRE(table.resendAfter(5) == 0U);
     changed.clear();
-    takeOld(table, one, 4, changed);
+    applyOutdated(table, changes, 4, changed);
     BOOST_TEST(changed.empty());
 }
 
--- a/test/support/ReplicaGroup.cpp
+++ b/test/support/ReplicaGroup.cpp
@@ -213,7 +213,7 @@
     if (replica.age(m_now) == core::Duration::max())
         return;
     // The time of the first change that the copy lacks limits how fresh the copy can be.
-    const auto missed = m_changedAt.upper_bound(replica.table().at());
+    const auto missed = m_changedAt.upper_bound(replica.table().revision());
     if (missed != m_changedAt.end())
         m_overstatedFreshness = std::max(m_overstatedFreshness, m_now - replica.age(m_now) - missed->second);
 }
@@ -295,7 +295,7 @@
 {
     const replication::ItemTable& table = m_nodes[index].replica->table();
     // Later changes of the store are newer than the copy, so an unchanged copy is as complete as at the last check.
-    const std::pair               checked{table.at(), table.sequence()};
+    const std::pair               checked{table.revision(), table.sequence()};
     if (std::exchange(m_nodes[index].lastChecked, checked) == checked)
         return;
     std::map<std::string, std::uint64_t> held;
@@ -304,14 +304,14 @@
     for (const auto& [key, changes] : m_history)
     {
         const auto next = std::find_if(changes.begin(), changes.end(),
-                                       [&](const Item& change) { return change.revision > table.at(); });
+                                       [&](const Item& change) { return change.revision > table.revision(); });
         if (next == changes.begin() || !m_firstIncompleteCopy.empty())
             continue;
         const Item& last = *std::prev(next);
         const auto  found = held.find(key);
         const bool  lacks = found == held.end() ? !last.gone && next == changes.end() : found->second < last.revision;
         if (lacks)
-            m_firstIncompleteCopy = "node " + std::to_string(index) + " as of " + std::to_string(table.at()) + " has " +
+            m_firstIncompleteCopy = "node " + std::to_string(index) + " as of " + std::to_string(table.revision()) + " has " +
                                     key + " of " + (found == held.end() ? "nothing" : std::to_string(found->second)) +
                                     ", changed at " + std::to_string(last.revision) + (last.gone ? " (removed)" : "");
     }
@@ -578,7 +578,7 @@
     cost = messageCoreMs;
     if (update != nullptr)
     {
-        const auto&  whole = update->update.whole;
+        const auto&  whole = update->update.sharedItems;
         const double items = sizeOf(update->update.items) + (whole ? sizeOf(*whole) : 0);
         bytes += items * packedShare + static_cast<double>(update->update.nodes.size()) * nodeBytes;
         // A whole copy is packed once for all followers that need it.
@@ -602,7 +602,7 @@
     {
         std::optional<core::Timestamp> asOf;
         core::Duration                 lag{};
-        if (read->freshness == replication::Reading::Latest)
+        if (read->freshness == replication::ReadMode::Latest)
             asOf = m_now;
         else
             lag = core::Duration(m_random.below(static_cast<std::uint64_t>(maxReadAge.count())));
@@ -701,7 +701,7 @@
         const auto farEnd = end->second;
         if (update != nullptr && index % m_dataCentres != farEnd.first % m_dataCentres)
             m_itemsAcrossDataCentres +=
-                update->update.whole ? update->update.whole->size() : update->update.items.size();
+                update->update.sharedItems ? update->update.sharedItems->size() : update->update.items.size();
         const std::uint64_t receiverLife = m_nodes[farEnd.first].life;
         const auto          message = action;
         core::Timestamp     arrives = m_now + delay;
