--- a/include/sailpath/balance/Balancer.hpp
+++ b/include/sailpath/balance/Balancer.hpp
@@ -362,18 +362,19 @@
     /// \brief Give the final answer when no attempt succeeded and none may follow
     void conclude(Ticket ticket, Request& request, core::Timestamp now);
     void refuse(Ticket ticket, const Refusal& refusal);
-    [[nodiscard]] bool           mayDeny(core::Timestamp now) const;
-    void                         timeOut(Ticket ticket, Request& request, core::Timestamp now);
-    void                         hedge(Ticket ticket, Request& request, core::Timestamp now);
-    void                         abandonRunning(Ticket ticket, Request& request, core::Timestamp now);
-    void                         scheduleWake(Ticket ticket, Request& request, core::Timestamp now);
-    void                         close(Ticket ticket);
-    [[nodiscard]] SelectionCriteria           wishOf(const Request& request) const;
-    [[nodiscard]] double         retryExtra() const; //!< This node's part of the retries beyond `retryRatio`
-    [[nodiscard]] core::Duration retryAfterForTurn(double openness);
-    [[nodiscard]] core::Duration retryAfterBackOff(core::Duration backOff);
-    [[nodiscard]] core::Duration retryAfterShortage(NoServerReason shortage, const ServicePool& pool, core::Timestamp now);
-    [[nodiscard]] core::Duration retryAfterWork(const ServicePool& pool, double expectedMs);
+    [[nodiscard]] bool              mayDeny(core::Timestamp now) const;
+    void                            timeOut(Ticket ticket, Request& request, core::Timestamp now);
+    void                            hedge(Ticket ticket, Request& request, core::Timestamp now);
+    void                            abandonRunning(Ticket ticket, Request& request, core::Timestamp now);
+    void                            scheduleWake(Ticket ticket, Request& request, core::Timestamp now);
+    void                            close(Ticket ticket);
+    [[nodiscard]] SelectionCriteria wishOf(const Request& request) const;
+    [[nodiscard]] double            retryExtra() const; //!< This node's part of the retries beyond `retryRatio`
+    [[nodiscard]] core::Duration    retryAfterForTurn(double openness);
+    [[nodiscard]] core::Duration    retryAfterBackOff(core::Duration backOff);
+    [[nodiscard]] core::Duration    retryAfterShortage(NoServerReason shortage, const ServicePool& pool,
+                                                       core::Timestamp now);
+    [[nodiscard]] core::Duration    retryAfterWork(const ServicePool& pool, double expectedMs);
 
     Settings                                      m_settings;    //!< Constants
     core::Timestamp                               m_startedAt;   //!< Start time of the node's process
--- a/include/sailpath/replication/Replica.hpp
+++ b/include/sailpath/replication/Replica.hpp
@@ -305,10 +305,10 @@
     ItemTable                                m_table;                 //!< The copy
     std::shared_ptr<const std::vector<Item>> m_wholeCopy;             //!< All items, shared by updates that hold all
     std::uint64_t                            m_wholeCopySequence{0};  //!< `ItemTable::sequence` of `m_wholeCopy`
-    ServerGossip                               m_news;                  //!< Server reports that this node passes on
+    ServerGossip                             m_news;                  //!< Server reports that this node passes on
     core::Timestamp                          m_nextServerReport{};    //!< When reports that may wait are sent next
     core::Timestamp                          m_nextLimitReport{};     //!< When reports that hold limits are sent next
-    BootstrapRelays                            m_introductions;         //!< Relays that this node, as a seed, names
+    BootstrapRelays                          m_introductions;         //!< Relays that this node, as a seed, names
     std::uint64_t                            m_newNodes{0};           //!< Counts nodes heard of for the first time
     bool                                     m_rankingPending{false}; //!< Nodes were added since the last ranking
     std::set<std::string>                    m_fullCopyFrom; //!< Relays to ask for all items when their link opens
--- a/src/sailpath/balance/Balancer.cpp
+++ b/src/sailpath/balance/Balancer.cpp
@@ -172,7 +172,8 @@
         {
             const auto pool = m_pools.find(part.service);
             if (pool != m_pools.end())
-                pool->second->work().setInitialEstimate(route.name, workShareOfTarget * core::toMilliseconds(route.targetLatency));
+                pool->second->work().setInitialEstimate(route.name,
+                                                        workShareOfTarget * core::toMilliseconds(route.targetLatency));
         }
     }
 }
@@ -400,8 +401,8 @@
     else
     {
         const bool           backOff = request.pool->noServerReason(now) == NoServerReason::BackOff;
-        const core::Duration wait =
-            backOff ? retryAfterShortage(NoServerReason::BackOff, *request.pool, now) : retryAfterWork(*request.pool, 0);
+        const core::Duration wait = backOff ? retryAfterShortage(NoServerReason::BackOff, *request.pool, now)
+                                            : retryAfterWork(*request.pool, 0);
         refuse(ticket, {RefusalReason::NotRun, false, std::max(request.retryAfter, wait)});
     }
     close(ticket);
@@ -476,7 +477,7 @@
     wish.draw = request.draw;
     wish.rank = request.rank;
     wish.allowLeaving = std::none_of(request.attempts.begin(), request.attempts.end(),
-                                   [](const Attempt& attempt) { return attempt.running; });
+                                     [](const Attempt& attempt) { return attempt.running; });
     return wish;
 }
 
--- a/src/sailpath/balance/BalancerAdmission.cpp
+++ b/src/sailpath/balance/BalancerAdmission.cpp
@@ -89,7 +89,8 @@
     }
     if (m_quotas.admits(workspace->name, m_random, now))
         return false;
-    refuse(ticket, {RefusalReason::OverQuota, false, retryAfterForTurn(m_quotas.admissionProbability(workspace->name, now))});
+    refuse(ticket,
+           {RefusalReason::OverQuota, false, retryAfterForTurn(m_quotas.admissionProbability(workspace->name, now))});
     return true;
 }
 
@@ -102,7 +103,8 @@
     if (!m_settings.admissionControl)
         return false;
     if (!mayBeInTime(request, now))
-        return pool.underPressure(rank, now) || pool.wouldLoseThroughput(server, now) || exceedsDeadline(request, choice, now);
+        return pool.underPressure(rank, now) || pool.wouldLoseThroughput(server, now) ||
+               exceedsDeadline(request, choice, now);
     if (isAdmissible(request, choice, now))
     {
         pool.recordAdmitted(rank, now);
@@ -125,7 +127,8 @@
     const double   passed = core::toMilliseconds(now - request.firstTriedAt);
     const double   most = maxAdmittedMs(core::toMilliseconds(request.route.targetLatency), rank);
     const bool     late = passed + choice.finishMs > most || exceedsDeadline(request, choice, now);
-    const bool     crowds = request.pool->underHighPressure(rank, now) && request.pool->wouldLoseThroughput(*choice.server, now);
+    const bool     crowds =
+        request.pool->underHighPressure(rank, now) && request.pool->wouldLoseThroughput(*choice.server, now);
     return !late && !crowds && !delaysMoreUrgent(request, *choice.server, now);
 }
 
@@ -150,7 +153,8 @@
     const double       passed = core::toMilliseconds(now - request.firstTriedAt);
     const auto         delayed = [&](const std::string& name, const RouteActivity& route)
     {
-        if (route.rank >= request.route.priority || now - route.lastRequestAt > routeActiveFor || !pool.work().hasLearned(name))
+        if (route.rank >= request.route.priority || now - route.lastRequestAt > routeActiveFor ||
+            !pool.work().hasLearned(name))
             return false;
         const double between = 1 + rankStep * (request.route.priority - route.rank);
         const double limit = maxAdmittedMs(core::toMilliseconds(route.targetLatency), route.rank) / between;
--- a/src/sailpath/balance/BalancerSearch.cpp
+++ b/src/sailpath/balance/BalancerSearch.cpp
@@ -45,7 +45,8 @@
 {
     request.search = Search{};
     request.draw = static_cast<std::uint32_t>(core::mix(static_cast<std::uint32_t>(m_settings.seed), ++m_searchCount));
-    request.rank = request.pool->hasLimitedInstance(now) ? request.pool->countMoreUrgentRanks(request.route.priority, now) : 0;
+    request.rank =
+        request.pool->hasLimitedInstance(now) ? request.pool->countMoreUrgentRanks(request.route.priority, now) : 0;
     // Under load, a retrying caller's request that can no longer be in time yields to requests that can.
     const bool gated = m_settings.admissionControl && request.attempts.empty();
     if (gated && request.pool->underPressure(request.route.priority, now) && !mayBeInTime(request, now))
@@ -65,8 +66,8 @@
 ////////////////////////////////////////////////////////////
 void Balancer::beginRound(Ticket ticket, Request& request, core::Timestamp now)
 {
-    Search& search = request.search;
-    SelectionCriteria    wish = wishOf(request);
+    Search&           search = request.search;
+    SelectionCriteria wish = wishOf(request);
     wish.firstRound = search.probes.empty();
     wish.localFirst = m_settings.nearFirst && wish.firstRound;
     const unsigned most = search.probes.empty() ? m_settings.probesInFirstRound : m_settings.probesPerRound;
--- a/src/sailpath/balance/ServicePool.cpp
+++ b/src/sailpath/balance/ServicePool.cpp
@@ -222,8 +222,8 @@
     for (const auto& server : m_servers)
     {
         if (const SharedLimit* limit = server->limit(now))
-            all.push_back({server->instance(), limit->perSecond(now), limit->limitedSince(), limit->admissionProbability(now),
-                           limit->sentHere(), limit->sentByAll()});
+            all.push_back({server->instance(), limit->perSecond(now), limit->limitedSince(),
+                           limit->admissionProbability(now), limit->sentHere(), limit->sentByAll()});
     }
 }
 
--- a/src/sailpath/gateway/GatewayRequests.cpp
+++ b/src/sailpath/gateway/GatewayRequests.cpp
@@ -466,8 +466,8 @@
 {
     if (const auto quota = balancer.quota(exchange.workspace, core::now()))
         exchange.trail += "quota=" + std::to_string(quota->perSecond) + "+" + std::to_string(quota->burst) +
-                          "/open=" + std::to_string(quota->admissionProbability) + "/here=" + std::to_string(quota->sentHere) +
-                          "/all=" + std::to_string(quota->sentByAll);
+                          "/open=" + std::to_string(quota->admissionProbability) +
+                          "/here=" + std::to_string(quota->sentHere) + "/all=" + std::to_string(quota->sentByAll);
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/replication/ReplicaUpdates.cpp
+++ b/src/sailpath/replication/ReplicaUpdates.cpp
@@ -92,7 +92,8 @@
     upstream->second.receivedUpdate = true;
     large->insert(large->end(), update.items.begin(), update.items.end());
     const bool first = !hasCopy();
-    applyUpdate(upstream->second.address, update, update.sharedItems ? std::span<const Item>(*update.sharedItems) : *large);
+    applyUpdate(upstream->second.address, update,
+                update.sharedItems ? std::span<const Item>(*update.sharedItems) : *large);
     if (first && hasCopy())
         firstCopyReceived();
     const core::Duration copyAge = core::Duration(std::chrono::milliseconds{update.ageMs}) + transit;
@@ -268,7 +269,8 @@
             known->second.lastHeardAt = now;
         // Changes are sent at once, and so is a newer proof of the copy, because the copy ages at each hop.
         const bool fresher = m_provedAt > follower.sentProvedAt + freshnessGain;
-        const bool hasChanges = m_table.revision() > follower.sentRevision || m_table.sequence() != follower.sentSequence;
+        const bool hasChanges =
+            m_table.revision() > follower.sentRevision || m_table.sequence() != follower.sentSequence;
         const bool sendItems = canServeFollowers() && !refersToRelays(follower, now);
         if (m_news.hasUrgentSince(follower.sentReports))
             follower.nextUpdateAt = std::min(follower.nextUpdateAt, follower.lastSentAt + m_settings.batchDelay);
--- a/test/support/ReplicaGroup.cpp
+++ b/test/support/ReplicaGroup.cpp
@@ -311,8 +311,9 @@
         const auto  found = held.find(key);
         const bool  lacks = found == held.end() ? !last.gone && next == changes.end() : found->second < last.revision;
         if (lacks)
-            m_firstIncompleteCopy = "node " + std::to_string(index) + " as of " + std::to_string(table.revision()) + " has " +
-                                    key + " of " + (found == held.end() ? "nothing" : std::to_string(found->second)) +
+            m_firstIncompleteCopy = "node " + std::to_string(index) + " as of " + std::to_string(table.revision()) +
+                                    " has " + key + " of " +
+                                    (found == held.end() ? "nothing" : std::to_string(found->second)) +
                                     ", changed at " + std::to_string(last.revision) + (last.gone ? " (removed)" : "");
     }
 }
--- a/test/support/ServiceModel.hpp
+++ b/test/support/ServiceModel.hpp
@@ -776,32 +776,31 @@
     {
         Server&    server = *m_servers.at(step.instance->id);
         const auto arrivesAt = m_now + connect(node, server);
-        schedule(
-            arrivesAt + std::chrono::milliseconds{1},
-            [this, &node, &server, ticket = step.ticket, number = step.attempt, instance = step.instance]
-            {
-                const auto load = loadOf(server);
-                const bool leaving = server.model.leaving;
-                schedule(
-                    m_now + trip(node, server),
-                    [this, &node, &server, ticket, number, load, leaving, instance]
-                    {
-                        if (leaving)
-                            node.balancer->recordNotice(instance, {true, {}}, balance::NoticeSource::HealthAnswer, m_now);
-                        const bool refused = server.ended;
-                        release(node, server, !refused);
-                        balance::Outcome outcome;
-                        outcome.end = refused ? balance::AttemptEnd::NotSent : balance::AttemptEnd::Answered;
-                        if (!refused)
-                        {
-                            outcome.status = 200;
-                            outcome.load = load;
-                            outcome.warmUp = coldFor(server);
-                        }
-                        node.balancer->probeEnded(ticket, number, outcome, m_now);
-                        runSteps(node);
-                    });
-            });
+        schedule(arrivesAt + std::chrono::milliseconds{1},
+                 [this, &node, &server, ticket = step.ticket, number = step.attempt, instance = step.instance]
+                 {
+                     const auto load = loadOf(server);
+                     const bool leaving = server.model.leaving;
+                     schedule(m_now + trip(node, server),
+                              [this, &node, &server, ticket, number, load, leaving, instance]
+                              {
+                                  if (leaving)
+                                      node.balancer->recordNotice(instance, {true, {}},
+                                                                  balance::NoticeSource::HealthAnswer, m_now);
+                                  const bool refused = server.ended;
+                                  release(node, server, !refused);
+                                  balance::Outcome outcome;
+                                  outcome.end = refused ? balance::AttemptEnd::NotSent : balance::AttemptEnd::Answered;
+                                  if (!refused)
+                                  {
+                                      outcome.status = 200;
+                                      outcome.load = load;
+                                      outcome.warmUp = coldFor(server);
+                                  }
+                                  node.balancer->probeEnded(ticket, number, outcome, m_now);
+                                  runSteps(node);
+                              });
+                 });
     }
 
     void forward(Node& node, const balance::Step& step)
