--- a/include/sailpath/adapters/links/Codec.hpp
+++ b/include/sailpath/adapters/links/Codec.hpp
@@ -14,7 +14,7 @@
 using LinkMessage = std::variant<replication::Hello, replication::Update, replication::Report>;
 
 ////////////////////////////////////////////////////////////
-/// \brief Items in the form in which a message carries `Update::whole`
+/// \brief Items in the form in which a message carries `Update::sharedItems`
 ////////////////////////////////////////////////////////////
 [[nodiscard]] std::string packItems(std::span<const replication::Item> items);
 
@@ -22,7 +22,7 @@
 /// \brief Bytes of a message, its length in front
 ///
 /// \param message     What is said
-/// \param packedItems `packItems` of an update's `whole`; made here when empty
+/// \param packedItems `packItems` of an update's `sharedItems`; made here when empty
 ////////////////////////////////////////////////////////////
 [[nodiscard]] std::string encode(const LinkMessage& message, std::string_view packedItems = {});
 
--- a/include/sailpath/replication/Replica.hpp
+++ b/include/sailpath/replication/Replica.hpp
@@ -175,7 +175,7 @@
         std::uint64_t   sentAt{0};         //!< Revision sent
         std::uint64_t   sentSequence{0};   //!< Changes of the copy sent
         bool            wantsAll{true};    //!< Needs the whole picture
-        bool            packs{false};      //!< Understands `Update::whole`
+        bool            packs{false};      //!< Understands `Update::sharedItems`
         core::Timestamp since{};           //!< Came then
         std::uint64_t   namesTold{0};      //!< Hash of the relays that were named to it
         core::Timestamp nextBeat{};        //!< Next update without news
