--- a/include/sailpath/replication/BootstrapRelays.hpp
+++ b/include/sailpath/replication/BootstrapRelays.hpp
@@ -38,7 +38,7 @@
         core::Timestamp now); //!< While crowded: whether the seed may send one copy now; if so, starts the interval
 
     ////////////////////////////////////////////////////////////
-    /// \brief Choose the relays of each data centre again
+    /// \brief Choose the relays of each data centre anew
     ///
     /// \param nodes   Known nodes
     /// \param changes Count of all nodes that have become known so far
@@ -46,7 +46,7 @@
     ////////////////////////////////////////////////////////////
     void refresh(std::span<const NodeAddress> nodes, std::uint64_t changes, core::Timestamp now);
 
-    [[nodiscard]] bool isCrowded() const; //!< Whether more nodes wait than the seed serves, so that it refers them
+    [[nodiscard]] bool isCrowded() const; //!< Whether more nodes need a copy than the seed serves
     [[nodiscard]] bool needsRefresh(std::uint64_t changes, core::Timestamp now) const;
     [[nodiscard]] std::optional<core::Timestamp>
     nextRefresh(std::uint64_t changes) const; //!< Returns when `refresh` is due; null if nothing would change
