--- a/include/sailpath/replication/ServerGossip.hpp
+++ b/include/sailpath/replication/ServerGossip.hpp
@@ -64,10 +64,10 @@
     [[nodiscard]] bool hasUrgentSince(std::uint64_t count) const; //!< Whether a report after `count` is urgent
     [[nodiscard]] bool hasLimitsSince(std::uint64_t count) const; //!< Whether a report after `count` holds limits
     [[nodiscard]] std::vector<ServerReport>
-                                              reportsForFollower(std::uint64_t count,
-                                                                 std::uint64_t link) const; //!< Returns reports after `count` that did not come on the link
-    [[nodiscard]] std::optional<ServerReport> currentLimits(
-        core::Timestamp now) const; //!< Returns the strictest known limits, for a new follower; null if there are none
+    reportsForFollower(std::uint64_t count,
+                       std::uint64_t link) const; //!< Returns reports after `count` that did not come on the link
+    [[nodiscard]] std::optional<ServerReport>
+    currentLimits(core::Timestamp now) const; //!< Returns the strictest known limits; null if there are none
     [[nodiscard]] std::vector<ServerReport>
     reportsForRelay(std::uint64_t count) const; //!< Returns reports after `count` that did not come from a relay
     [[nodiscard]] std::vector<ServerReport> takeReceived(); //!< Returns other nodes' reports since the last call
