--- a/include/sailpath/replication/Replica.hpp
+++ b/include/sailpath/replication/Replica.hpp
@@ -204,7 +204,7 @@
         std::uint64_t   sentRevision{0};      //!< Revision of the copy sent last
         std::uint64_t   sentSequence{0};      //!< Value of `ItemTable::sequence` at the last update with items
         bool            needsFullCopy{true};  //!< The next update has to hold all items
-        bool            supportsWhole{false}; //!< Understands `Update::whole`
+        bool            supportsWhole{false}; //!< Understands `Update::sharedItems`
         core::Timestamp connectedAt{};        //!< When its hello was received
         std::uint64_t   sentNamesHash{0};     //!< Hash of the relay names sent last; 0 when none were sent
         core::Timestamp nextUpdateAt{};       //!< When the next update is sent, with or without changes
