--- a/src/sailpath/gateway/AnswerHead.hpp
+++ b/src/sailpath/gateway/AnswerHead.hpp
@@ -12,14 +12,14 @@
 ////////////////////////////////////////////////////////////
 /// \brief What became of a request, as the head of the whole answer tells
 ////////////////////////////////////////////////////////////
-[[nodiscard]] balance::Outcome judgeAnswer(const http::Head& head, const Dialect& dialect);
+[[nodiscard]] balance::Outcome classifyAnswer(const http::Head& head, const Dialect& dialect);
 
 ////////////////////////////////////////////////////////////
 /// \brief What the head of a health answer tells
 ///
 /// \param instance Id of the instance that was asked
 ////////////////////////////////////////////////////////////
-[[nodiscard]] balance::Outcome judgeProbe(const http::Head& head, std::string_view instance, const Dialect& dialect);
+[[nodiscard]] balance::Outcome classifyProbe(const http::Head& head, std::string_view instance, const Dialect& dialect);
 
 ////////////////////////////////////////////////////////////
 /// \brief What an answer says of the requests that its server wants; empty when another instance speaks
@@ -27,12 +27,12 @@
 /// \param probe    It is a health answer, which repeats no id of a request
 /// \param instance Id of the instance that was asked
 ////////////////////////////////////////////////////////////
-[[nodiscard]] balance::ServerNotice noticeOf(const http::Head& head, bool probe, std::string_view instance,
-                                             const Dialect& dialect);
+[[nodiscard]] balance::ServerNotice parseNotice(const http::Head& head, bool probe, std::string_view instance,
+                                                const Dialect& dialect);
 
 ////////////////////////////////////////////////////////////
 /// \brief How long its server keeps the connection at rest; 0 when it does not say
 ////////////////////////////////////////////////////////////
-[[nodiscard]] core::Duration keepAliveOf(const http::Head& head);
+[[nodiscard]] core::Duration parseKeepAlive(const http::Head& head);
 
 } // namespace sailpath::gateway::priv
--- a/src/sailpath/gateway/AnswerQueue.cpp
+++ b/src/sailpath/gateway/AnswerQueue.cpp
@@ -6,58 +6,59 @@
 namespace sailpath::gateway::priv
 {
 ////////////////////////////////////////////////////////////
-void AnswerQueue::expect(Turn turn)
+void AnswerQueue::append(PendingAnswer pending)
 {
-    m_turns.push_back(std::move(turn));
+    m_pending.push_back(std::move(pending));
 }
 
 ////////////////////////////////////////////////////////////
-Turn* AnswerQueue::find(balance::Ticket ticket)
+PendingAnswer* AnswerQueue::findUnanswered(balance::Ticket ticket)
 {
-    const auto found = std::find_if(m_turns.begin(), m_turns.end(),
-                                    [&](const Turn& turn) { return turn.ticket == ticket && !turn.answer; });
-    return found == m_turns.end() ? nullptr : &*found;
+    const auto found =
+        std::find_if(m_pending.begin(), m_pending.end(),
+                     [&](const PendingAnswer& pending) { return pending.ticket == ticket && !pending.answer; });
+    return found == m_pending.end() ? nullptr : &*found;
 }
 
 ////////////////////////////////////////////////////////////
-void AnswerQueue::put(Turn& turn, CallerAnswer answer, core::Timestamp now)
+void AnswerQueue::setAnswer(PendingAnswer& pending, CallerAnswer answer, core::Timestamp now)
 {
-    if (&turn != &m_turns.front())
-        turn.memory.add(static_cast<std::int64_t>(answer.head.size() + answer.body.size()));
-    turn.answer = std::move(answer);
-    turn.readyAt = now;
+    if (&pending != &m_pending.front())
+        pending.reservation.forceGrowBy(static_cast<std::int64_t>(answer.head.size() + answer.body.size()));
+    pending.answer = std::move(answer);
+    pending.answeredAt = now;
 }
 
 ////////////////////////////////////////////////////////////
-std::optional<Turn> AnswerQueue::takeReady()
+std::optional<PendingAnswer> AnswerQueue::popReady()
 {
-    if (m_turns.empty() || !m_turns.front().answer)
+    if (m_pending.empty() || !m_pending.front().answer)
         return std::nullopt;
-    Turn first = std::move(m_turns.front());
-    m_turns.pop_front();
+    PendingAnswer first = std::move(m_pending.front());
+    m_pending.pop_front();
     return first;
 }
 
 ////////////////////////////////////////////////////////////
 bool AnswerQueue::empty() const
 {
-    return m_turns.empty();
+    return m_pending.empty();
 }
 
 ////////////////////////////////////////////////////////////
 std::size_t AnswerQueue::size() const
 {
-    return m_turns.size();
+    return m_pending.size();
 }
 
 ////////////////////////////////////////////////////////////
 std::vector<balance::Ticket> AnswerQueue::tickets() const
 {
     std::vector<balance::Ticket> tickets;
-    for (const Turn& turn : m_turns)
+    for (const PendingAnswer& pending : m_pending)
     {
-        if (turn.ticket != 0)
-            tickets.push_back(turn.ticket);
+        if (pending.ticket != 0)
+            tickets.push_back(pending.ticket);
     }
     return tickets;
 }
--- a/src/sailpath/gateway/AnswerQueue.hpp
+++ b/src/sailpath/gateway/AnswerQueue.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "BodyClaim.hpp"
+#include "BodyReservation.hpp"
 #include "CallerAnswer.hpp"
 
 #include <sailpath/balance/Step.hpp>
@@ -16,14 +16,14 @@
 ////////////////////////////////////////////////////////////
 /// \brief A request of a connection that has no answer written yet
 ////////////////////////////////////////////////////////////
-struct Turn
+struct PendingAnswer
 {
     balance::Ticket             ticket{0};       //!< Of the request; 0 for one that was refused unread
-    bool                        keep{true};      //!< The caller wants the connection kept after it
+    bool                        keepAlive{true}; //!< The caller wants the connection kept after it
     bool                        headOnly{false}; //!< It asks for the head only
-    BodyClaim                   memory;          //!< Of its body, and of its answer while that waits
+    BodyReservation             reservation;     //!< Of its body, and of its answer while that waits
     std::optional<CallerAnswer> answer;          //!< Once it is known
-    core::Timestamp             readyAt{};       //!< When it was
+    core::Timestamp             answeredAt{};    //!< When it was
 };
 
 ////////////////////////////////////////////////////////////
@@ -32,23 +32,24 @@
 class AnswerQueue
 {
 public:
-    void expect(Turn turn); //!< A request was read after all others
+    void append(PendingAnswer pending); //!< A request was read after all others
 
-    [[nodiscard]] Turn* find(balance::Ticket ticket); //!< A turn without an answer; null when there is none
+    [[nodiscard]] PendingAnswer*
+    findUnanswered(balance::Ticket ticket); //!< A turn without an answer; null when there is none
 
     ////////////////////////////////////////////////////////////
     /// \brief Give a turn its answer; one that has to wait for others counts as memory held
     ////////////////////////////////////////////////////////////
-    void put(Turn& turn, CallerAnswer answer, core::Timestamp now);
+    void setAnswer(PendingAnswer& pending, CallerAnswer answer, core::Timestamp now);
 
-    [[nodiscard]] std::optional<Turn> takeReady(); //!< The first turn, once it has its answer
+    [[nodiscard]] std::optional<PendingAnswer> popReady(); //!< The first turn, once it has its answer
 
     [[nodiscard]] bool                         empty() const;   //!< No turn is left
     [[nodiscard]] std::size_t                  size() const;    //!< Turns
     [[nodiscard]] std::vector<balance::Ticket> tickets() const; //!< Of all turns that have one, in order
 
 private:
-    std::deque<Turn> m_turns; //!< In the order of the requests
+    std::deque<PendingAnswer> m_pending; //!< In the order of the requests
 };
 
 } // namespace sailpath::gateway::priv
--- a/src/sailpath/gateway/BodyMemory.cpp
+++ b/src/sailpath/gateway/BodyMemory.cpp
@@ -4,8 +4,8 @@
 {
 namespace
 {
-constexpr std::int64_t commonParts = 3; // Of four, for anybody
-constexpr std::int64_t allParts = 4;
+constexpr std::int64_t sharedParts = 3; // Of four, for anybody
+constexpr std::int64_t totalParts = 4;
 
 } // namespace
 
@@ -16,37 +16,37 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool BodyMemory::take(const std::string& workspace, std::int64_t bytes)
+bool BodyMemory::reserve(const std::string& workspace, std::int64_t bytes)
 {
-    const auto         known = m_held.find(workspace);
-    const std::int64_t held = known == m_held.end() ? 0 : known->second;
-    const auto         holders = static_cast<std::int64_t>(m_held.size()) + (known == m_held.end() ? 1 : 0);
-    const bool         common = m_used + bytes <= commonBytes();
+    const auto         found = m_usedBy.find(workspace);
+    const std::int64_t held = found == m_usedBy.end() ? 0 : found->second;
+    const auto         holders = static_cast<std::int64_t>(m_usedBy.size()) + (found == m_usedBy.end() ? 1 : 0);
+    const bool         withinSharedPart = m_used + bytes <= sharedBytes();
     // One share more than there are holders: the next workspace finds room too.
-    const bool         fair = held + bytes <= m_total / (holders + 1);
-    if (m_used + bytes > m_total || (!common && !fair))
+    const bool         withinFairShare = held + bytes <= m_total / (holders + 1);
+    if (m_used + bytes > m_total || (!withinSharedPart && !withinFairShare))
         return false;
-    count(workspace, bytes);
+    forceReserve(workspace, bytes);
     return true;
 }
 
 ////////////////////////////////////////////////////////////
-void BodyMemory::count(const std::string& workspace, std::int64_t bytes)
+void BodyMemory::forceReserve(const std::string& workspace, std::int64_t bytes)
 {
     m_used += bytes;
-    m_held[workspace] += bytes;
+    m_usedBy[workspace] += bytes;
 }
 
 ////////////////////////////////////////////////////////////
-void BodyMemory::giveBack(const std::string& workspace, std::int64_t bytes)
+void BodyMemory::release(const std::string& workspace, std::int64_t bytes)
 {
     m_used -= bytes;
-    const auto known = m_held.find(workspace);
-    if (known == m_held.end())
+    const auto found = m_usedBy.find(workspace);
+    if (found == m_usedBy.end())
         return;
-    known->second -= bytes;
-    if (known->second <= 0)
-        m_held.erase(known);
+    found->second -= bytes;
+    if (found->second <= 0)
+        m_usedBy.erase(found);
 }
 
 ////////////////////////////////////////////////////////////
@@ -56,15 +56,15 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool BodyMemory::scarce() const
+bool BodyMemory::isSharedPartUsedUp() const
 {
-    return m_used > commonBytes();
+    return m_used > sharedBytes();
 }
 
 ////////////////////////////////////////////////////////////
-std::int64_t BodyMemory::commonBytes() const
+std::int64_t BodyMemory::sharedBytes() const
 {
-    return m_total / allParts * commonParts;
+    return m_total / totalParts * sharedParts;
 }
 
 } // namespace sailpath::gateway::priv
--- a/src/sailpath/gateway/BodyMemory.hpp
+++ b/src/sailpath/gateway/BodyMemory.hpp
@@ -18,19 +18,19 @@
 public:
     explicit BodyMemory(std::int64_t total); //!< Bytes for all together
 
-    [[nodiscard]] bool take(const std::string& workspace, std::int64_t bytes);     //!< False when there is none for it
-    void               count(const std::string& workspace, std::int64_t bytes);    //!< What is held already
-    void               giveBack(const std::string& workspace, std::int64_t bytes); //!< What was taken or counted
+    [[nodiscard]] bool reserve(const std::string& workspace, std::int64_t bytes); //!< False when there is none for it
+    void               forceReserve(const std::string& workspace, std::int64_t bytes); //!< What is held already
+    void               release(const std::string& workspace, std::int64_t bytes);      //!< What was taken or counted
 
-    [[nodiscard]] std::int64_t used() const;   //!< Bytes taken
-    [[nodiscard]] bool         scarce() const; //!< What anybody may use is used up
+    [[nodiscard]] std::int64_t used() const;               //!< Bytes taken
+    [[nodiscard]] bool         isSharedPartUsedUp() const; //!< What anybody may use is used up
 
 private:
-    [[nodiscard]] std::int64_t commonBytes() const; //!< That anybody may use
+    [[nodiscard]] std::int64_t sharedBytes() const; //!< That anybody may use
 
     std::int64_t                        m_total;   //!< Bytes for all together
     std::int64_t                        m_used{0}; //!< Bytes taken
-    std::map<std::string, std::int64_t> m_held;    //!< Of these, by workspace
+    std::map<std::string, std::int64_t> m_usedBy;  //!< Of these, by workspace
 };
 
 } // namespace sailpath::gateway::priv
--- a/src/sailpath/gateway/BodyClaim.cpp
+++ b/src/sailpath/gateway/BodyReservation.cpp
@@ -1,4 +1,4 @@
-#include "BodyClaim.hpp"
+#include "BodyReservation.hpp"
 
 #include "BodyMemory.hpp"
 
@@ -7,20 +7,20 @@
 namespace sailpath::gateway::priv
 {
 ////////////////////////////////////////////////////////////
-BodyClaim::BodyClaim(std::shared_ptr<BodyMemory> memory, std::string workspace) :
+BodyReservation::BodyReservation(std::shared_ptr<BodyMemory> memory, std::string workspace) :
 m_memory(std::move(memory)),
 m_workspace(std::move(workspace))
 {
 }
 
 ////////////////////////////////////////////////////////////
-BodyClaim::~BodyClaim()
+BodyReservation::~BodyReservation()
 {
     release();
 }
 
 ////////////////////////////////////////////////////////////
-BodyClaim::BodyClaim(BodyClaim&& other) noexcept :
+BodyReservation::BodyReservation(BodyReservation&& other) noexcept :
 m_memory(std::move(other.m_memory)),
 m_workspace(std::move(other.m_workspace)),
 m_bytes(std::exchange(other.m_bytes, 0))
@@ -28,7 +28,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BodyClaim& BodyClaim::operator=(BodyClaim&& other) noexcept
+BodyReservation& BodyReservation::operator=(BodyReservation&& other) noexcept
 {
     if (this == &other)
         return *this;
@@ -40,36 +40,36 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool BodyClaim::growTo(std::int64_t bytes)
+bool BodyReservation::growTo(std::int64_t bytes)
 {
     if (bytes <= m_bytes)
         return true;
-    if (m_memory == nullptr || !m_memory->take(m_workspace, bytes - m_bytes))
+    if (m_memory == nullptr || !m_memory->reserve(m_workspace, bytes - m_bytes))
         return false;
     m_bytes = bytes;
     return true;
 }
 
 ////////////////////////////////////////////////////////////
-void BodyClaim::add(std::int64_t bytes)
+void BodyReservation::forceGrowBy(std::int64_t bytes)
 {
     if (m_memory == nullptr)
         return;
-    m_memory->count(m_workspace, bytes);
+    m_memory->forceReserve(m_workspace, bytes);
     m_bytes += bytes;
 }
 
 ////////////////////////////////////////////////////////////
-bool BodyClaim::claims() const
+bool BodyReservation::canReserve() const
 {
     return m_memory != nullptr;
 }
 
 ////////////////////////////////////////////////////////////
-void BodyClaim::release()
+void BodyReservation::release()
 {
     if (m_memory != nullptr && m_bytes > 0)
-        m_memory->giveBack(m_workspace, m_bytes);
+        m_memory->release(m_workspace, m_bytes);
     m_bytes = 0;
 }
 
--- a/src/sailpath/gateway/CallerAnswer.cpp
+++ b/src/sailpath/gateway/CallerAnswer.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 ////////////////////////////////////////////////////////////
-std::string_view reasonOf(unsigned status)
+std::string_view statusPhrase(unsigned status)
 {
     switch (status)
     {
@@ -51,7 +51,7 @@
 } // namespace
 
 ////////////////////////////////////////////////////////////
-void CallerAnswer::endHead(bool close)
+void CallerAnswer::finishHead(bool close)
 {
     if (close)
         appendField(head, "Connection", "close");
@@ -59,7 +59,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-CallerAnswer answerOf(const http::Head& head, std::string body, bool headOnly)
+CallerAnswer makeAnswer(const http::Head& head, std::string body, bool headOnly)
 {
     const std::string_view connection = head.field("Connection");
     CallerAnswer           answer;
@@ -80,17 +80,17 @@
 }
 
 ////////////////////////////////////////////////////////////
-CallerAnswer answerOf(const OwnAnswer& own, bool headOnly)
+CallerAnswer makeAnswer(const LocalAnswer& local, bool headOnly)
 {
     CallerAnswer answer;
-    appendStatus(answer.head, own.status, reasonOf(own.status));
-    if (own.comeBack.count() > 0)
+    appendStatus(answer.head, local.status, statusPhrase(local.status));
+    if (local.retryAfter.count() > 0)
     {
         char text[32];
-        std::snprintf(text, sizeof(text), "%.3f", core::toSeconds(own.comeBack));
+        std::snprintf(text, sizeof(text), "%.3f", core::toSeconds(local.retryAfter));
         appendField(answer.head, "Retry-After", text);
     }
-    std::string body = std::string(own.reason) + "\n";
+    std::string body = std::string(local.reason) + "\n";
     appendField(answer.head, "Content-Type", "text/plain");
     appendField(answer.head, "Content-Length", std::to_string(body.size()));
     if (!headOnly)
--- a/src/sailpath/gateway/CallerAnswer.hpp
+++ b/src/sailpath/gateway/CallerAnswer.hpp
@@ -11,11 +11,11 @@
 ////////////////////////////////////////////////////////////
 /// \brief An answer in the node's own name
 ////////////////////////////////////////////////////////////
-struct OwnAnswer
+struct LocalAnswer
 {
-    unsigned         status{503}; //!< Status
-    std::string_view reason;      //!< Why, for the body
-    core::Duration   comeBack{};  //!< `Retry-After`; 0 for none
+    unsigned         status{503};  //!< Status
+    std::string_view reason;       //!< Why, for the body
+    core::Duration   retryAfter{}; //!< `Retry-After`; 0 for none
 };
 
 ////////////////////////////////////////////////////////////
@@ -29,7 +29,7 @@
     std::string head; //!< Status and fields
     std::string body; //!< Empty when none is written
 
-    void endHead(bool close); //!< Its turn has come
+    void finishHead(bool close); //!< Its turn has come
 };
 
 ////////////////////////////////////////////////////////////
@@ -37,11 +37,11 @@
 ///
 /// \param headOnly The request asked for the head only
 ////////////////////////////////////////////////////////////
-[[nodiscard]] CallerAnswer answerOf(const http::Head& head, std::string body, bool headOnly);
+[[nodiscard]] CallerAnswer makeAnswer(const http::Head& head, std::string body, bool headOnly);
 
 ////////////////////////////////////////////////////////////
 /// \brief Answer in the node's own name
 ////////////////////////////////////////////////////////////
-[[nodiscard]] CallerAnswer answerOf(const OwnAnswer& own, bool headOnly);
+[[nodiscard]] CallerAnswer makeAnswer(const LocalAnswer& local, bool headOnly);
 
 } // namespace sailpath::gateway::priv
--- a/src/sailpath/gateway/CallerConnection.cpp
+++ b/src/sailpath/gateway/CallerConnection.cpp
@@ -13,24 +13,24 @@
 {
 namespace
 {
-constexpr auto        comeBackLater = std::chrono::seconds{1};
-constexpr auto        lingerTime = std::chrono::seconds{1};      // For a caller to close after the last answer
-constexpr auto        endCheck = std::chrono::milliseconds{200}; // Between looks for a caller's end, see below
-constexpr std::size_t mostReadAhead = 64UL * 1024;               // Bytes kept of requests not taken yet
-constexpr std::size_t mostSideBySide = 16; // Requests of one connection at servers at once; a few round trips' worth,
-                                           // and little beside what a node serves, so that one caller cannot take all
+constexpr auto        refusalRetryAfter = std::chrono::seconds{1};
+constexpr auto        lingerTimeout = std::chrono::seconds{1};            // For a caller to close after the last answer
+constexpr auto        closePollInterval = std::chrono::milliseconds{200}; // Between looks for a caller's end, see below
+constexpr std::size_t maxReadAhead = 64UL * 1024;                         // Bytes kept of requests not taken yet
+constexpr std::size_t maxPipelined = 16; // Requests of one connection at servers at once; a few round trips' worth,
+                                         // and little beside what a node serves, so that one caller cannot take all
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
 CallerConnection::CallerConnection(asio::ip::tcp::socket socket, std::string address, CallerEvents& events,
-                                   std::shared_ptr<BodyMemory> bodies) :
+                                   std::shared_ptr<BodyMemory> bodyMemory) :
 m_socket(std::move(socket)),
 m_address(std::move(address)),
-m_endTimer(m_socket.get_executor()),
+m_closePollTimer(m_socket.get_executor()),
 m_events(events),
-m_bodies(std::move(bodies)),
-m_activity(core::now())
+m_bodyMemory(std::move(bodyMemory)),
+m_lastActivity(core::now())
 {
 }
 
@@ -51,8 +51,8 @@
 {
     if (m_reading || m_state == State::Closed)
         return;
-    if (m_reader.unread() > mostReadAhead)
-        return watchForEnd();
+    if (m_reader.unreadBytes() > maxReadAhead)
+        return pollForClose();
     m_reading = true;
     auto self = shared_from_this();
     m_socket.async_read_some(asio::buffer(m_buffer),
@@ -63,32 +63,32 @@
                                      return;
                                  if (error)
                                      return self->close();
-                                 self->received(bytes);
+                                 self->handleBytes(bytes);
                              });
 }
 
 ////////////////////////////////////////////////////////////
-void CallerConnection::received(std::size_t bytes)
+void CallerConnection::handleBytes(std::size_t bytes)
 {
-    m_activity = core::now();
-    m_reader.received({m_buffer.data(), bytes}, m_events.earliestArrival());
-    takeRequests();
+    m_lastActivity = core::now();
+    m_reader.append({m_buffer.data(), bytes}, m_events.earliestArrival());
+    readRequests();
     read();
 }
 
 ////////////////////////////////////////////////////////////
-void CallerConnection::watchForEnd()
+void CallerConnection::pollForClose()
 {
     // While reading is held up the end of the connection does not show by a read, but in the socket's state.
-    if (m_watching)
+    if (m_pollingForClose)
         return;
-    m_watching = true;
+    m_pollingForClose = true;
     auto self = shared_from_this();
-    m_endTimer.expires_after(endCheck);
-    m_endTimer.async_wait(
+    m_closePollTimer.expires_after(closePollInterval);
+    m_closePollTimer.async_wait(
         [self](const asio::error_code& error)
         {
-            self->m_watching = false;
+            self->m_pollingForClose = false;
             if (error || self->m_state == State::Closed)
                 return;
             tcp_info   info{};
@@ -101,34 +101,35 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool CallerConnection::mayTakeRequest() const
+bool CallerConnection::canReadRequest() const
 {
-    if (m_state != State::Open || m_lastRead || m_waiting)
+    if (m_state != State::Open || m_requestsEnded || m_deferred)
         return false;
-    if (m_turns.empty())
+    if (m_pendingAnswers.empty())
         return true;
-    return m_turns.size() < mostSideBySide && !m_events.leaving() && !m_bodies->scarce();
+    return m_pendingAnswers.size() < maxPipelined && !m_events.closesConnections() &&
+           !m_bodyMemory->isSharedPartUsedUp();
 }
 
 ////////////////////////////////////////////////////////////
-bool CallerConnection::nothingOwed() const
+bool CallerConnection::hasNoPendingAnswer() const
 {
-    return m_turns.empty() && !m_writing;
+    return m_pendingAnswers.empty() && !m_writing;
 }
 
 ////////////////////////////////////////////////////////////
-void CallerConnection::takeRequests()
+void CallerConnection::readRequests()
 {
-    while (mayTakeRequest())
+    while (canReadRequest())
     {
         switch (m_reader.read(m_events.limits()))
         {
         case http::ReadState::Head:
             return;
         case http::ReadState::Body:
-            if (!claimBody())
+            if (!reserveBody())
                 return refuse(503, "no memory for another body");
-            return sayContinue();
+            return handleExpect();
         case http::ReadState::HeadTooLarge:
             return m_events.configured() ? refuse(431, "the head is too large") : refuse(503, "not-configured");
         case http::ReadState::BodyTooLarge:
@@ -136,109 +137,111 @@
         case http::ReadState::Malformed:
             return refuse(400, "no request of the protocol");
         case http::ReadState::Done:
-            if (!claimBody())
+            if (!reserveBody())
                 return refuse(503, "no memory for another body");
-            requestDone();
+            handleRequest();
             break;
         }
     }
 }
 
 ////////////////////////////////////////////////////////////
-bool CallerConnection::claimBody()
+bool CallerConnection::reserveBody()
 {
-    const std::int64_t bytes = m_reader.bodyBytes();
-    if (bytes == 0 || m_memory.growTo(bytes))
+    const std::int64_t bytes = m_reader.bodyBytesToReserve();
+    if (bytes == 0 || m_reservation.growTo(bytes))
         return true;
-    m_memory = BodyClaim(m_bodies, m_events.workspaceOf(m_reader.head()));
-    return m_memory.growTo(bytes);
+    m_reservation = BodyReservation(m_bodyMemory, m_events.workspaceOf(m_reader.head()));
+    return m_reservation.growTo(bytes);
 }
 
 ////////////////////////////////////////////////////////////
-void CallerConnection::sayContinue()
+void CallerConnection::handleExpect()
 {
-    if (m_expectSeen || !http::sameName(m_reader.head().field("Expect"), "100-continue"))
+    if (m_expectHandled || !http::sameName(m_reader.head().field("Expect"), "100-continue"))
         return;
-    m_expectSeen = true;
-    m_continueOwed = true;
-    if (nothingOwed())
+    m_expectHandled = true;
+    m_continuePending = true;
+    if (hasNoPendingAnswer())
         writeContinue();
 }
 
 ////////////////////////////////////////////////////////////
 void CallerConnection::writeContinue()
 {
-    m_continueOwed = false;
+    m_continuePending = false;
     // No answer is owed before it and none follows until the body has come, so the bytes cannot mix.
     asio::error_code ignored;
     asio::write(m_socket, asio::buffer(std::string_view("HTTP/1.1 100 Continue\r\n\r\n")), ignored);
 }
 
 ////////////////////////////////////////////////////////////
-void CallerConnection::requestDone()
+void CallerConnection::handleRequest()
 {
-    CallerRequest request{m_reader.head(), m_reader.takeBody(), m_reader.since(), std::exchange(m_memory, {})};
-    m_reader.next();
-    m_expectSeen = false;
-    m_continueOwed = false;
-    if (nothingOwed() || m_events.mayRepeat(request.head))
-        return handOn(std::move(request));
-    m_waiting = std::move(request);
+    CallerRequest request{m_reader.head(), m_reader.takeBody(), m_reader.firstByteAt(),
+                          std::exchange(m_reservation, {})};
+    m_reader.finishRequest();
+    m_expectHandled = false;
+    m_continuePending = false;
+    if (hasNoPendingAnswer() || m_events.isRepeatable(request.head))
+        return forward(std::move(request));
+    m_deferred = std::move(request);
 }
 
 ////////////////////////////////////////////////////////////
-void CallerConnection::handOn(CallerRequest request)
+void CallerConnection::forward(CallerRequest request)
 {
-    Turn turn;
-    turn.ticket = m_events.newTicket();
-    turn.keep = request.head.keepAlive;
-    turn.headOnly = request.head.method == "HEAD";
-    turn.memory = std::move(request.memory);
-    if (!turn.memory.claims() && !nothingOwed())
-        turn.memory = BodyClaim(m_bodies, m_events.workspaceOf(request.head));
-    if (!turn.keep)
+    PendingAnswer pending;
+    pending.ticket = m_events.newTicket();
+    pending.keepAlive = request.head.keepAlive;
+    pending.headOnly = request.head.method == "HEAD";
+    pending.reservation = std::move(request.reservation);
+    if (!pending.reservation.canReserve() && !hasNoPendingAnswer())
+        pending.reservation = BodyReservation(m_bodyMemory, m_events.workspaceOf(request.head));
+    if (!pending.keepAlive)
     {
-        m_lastRead = true;
+        m_requestsEnded = true;
         m_reader.stop();
     }
-    const balance::Ticket ticket = turn.ticket;
-    m_turns.expect(std::move(turn));
+    const balance::Ticket ticket = pending.ticket;
+    m_pendingAnswers.append(std::move(pending));
     m_events.requestRead(*this, ticket, std::move(request));
 }
 
 ////////////////////////////////////////////////////////////
 void CallerConnection::refuse(unsigned status, std::string_view reason)
 {
-    m_events.refusedUnread(m_reader.begun() ? &m_reader.head() : nullptr, status, reason);
-    m_lastRead = true;
+    m_events.refusedUnread(m_reader.hasRequest() ? &m_reader.head() : nullptr, status, reason);
+    m_requestsEnded = true;
     m_reader.stop();
-    Turn turn;
-    turn.keep = false;
-    turn.memory = std::exchange(m_memory, {});
-    turn.answer = answerOf({status, reason, status == 503 ? core::Duration(comeBackLater) : core::Duration{}}, false);
-    turn.readyAt = core::now();
-    m_turns.expect(std::move(turn));
+    PendingAnswer pending;
+    pending.keepAlive = false;
+    pending.reservation = std::exchange(m_reservation, {});
+    pending.answer =
+        makeAnswer({status, reason, status == 503 ? core::Duration(refusalRetryAfter) : core::Duration{}}, false);
+    pending.answeredAt = core::now();
+    m_pendingAnswers.append(std::move(pending));
     writeNext();
 }
 
 ////////////////////////////////////////////////////////////
 bool CallerConnection::answer(balance::Ticket ticket, const http::Head& head, std::string body)
 {
-    Turn* const turn = m_turns.find(ticket);
-    return turn != nullptr && give(turn, answerOf(head, std::move(body), turn->headOnly));
+    PendingAnswer* const pending = m_pendingAnswers.findUnanswered(ticket);
+    return pending != nullptr && setAnswer(pending, makeAnswer(head, std::move(body), pending->headOnly));
 }
 
 ////////////////////////////////////////////////////////////
-bool CallerConnection::answer(balance::Ticket ticket, const OwnAnswer& own)
+bool CallerConnection::answer(balance::Ticket ticket, const LocalAnswer& local)
 {
-    Turn* const turn = m_turns.find(ticket);
-    return turn != nullptr && give(turn, answerOf(own, turn->headOnly));
+    PendingAnswer* const pending = m_pendingAnswers.findUnanswered(ticket);
+    return pending != nullptr && setAnswer(pending, makeAnswer(local, pending->headOnly));
 }
 
 ////////////////////////////////////////////////////////////
-bool CallerConnection::give(Turn* turn, CallerAnswer answer)
+bool CallerConnection::setAnswer(PendingAnswer* pending, CallerAnswer answer)
 {
-    m_turns.put(*turn, std::move(answer), core::now());
+    m_pendingAnswers.setAnswer(*pending, std::move(answer), core::now());
     writeNext();
     return true;
 }
@@ -248,39 +251,40 @@
 {
     if (m_writing || m_state != State::Open)
         return;
-    m_writing = m_turns.takeReady();
+    m_writing = m_pendingAnswers.popReady();
     if (!m_writing)
         return;
     // From here on the caller has to take bytes. Counted from its own last ones, an answer that took longer than it may be
     // idle was cut as soon as a sweep met its writing: 15 of 160 whose answer came at that time, none of 320 since.
-    m_activity = core::now();
+    m_lastActivity = core::now();
     // A planned stop ends the connection after the last of what was handed on.
-    m_lastWritten = !m_writing->keep || (m_events.leaving() && m_turns.empty());
-    if (m_lastWritten)
+    m_closeAfterWrite = !m_writing->keepAlive || (m_events.closesConnections() && m_pendingAnswers.empty());
+    if (m_closeAfterWrite)
     {
-        m_lastRead = true;
-        m_waiting.reset();
+        m_requestsEnded = true;
+        m_deferred.reset();
         m_reader.stop();
     }
-    m_writing->answer->endHead(m_lastWritten);
+    m_writing->answer->finishHead(m_closeAfterWrite);
     if (m_writing->ticket != 0)
-        m_events.answerLeaves(m_writing->ticket);
+        m_events.answerStarted(m_writing->ticket);
     const std::array<asio::const_buffer, 2> bytes{asio::buffer(m_writing->answer->head),
                                                   asio::buffer(m_writing->answer->body)};
     auto                                    self = shared_from_this();
-    asio::async_write(m_socket, bytes, [self](const asio::error_code& error, std::size_t) { self->written(!error); });
+    asio::async_write(m_socket, bytes,
+                      [self](const asio::error_code& error, std::size_t) { self->handleWritten(!error); });
 }
 
 ////////////////////////////////////////////////////////////
-void CallerConnection::written(bool good)
+void CallerConnection::handleWritten(bool succeeded)
 {
     m_writing.reset();
     if (m_state != State::Open)
         return;
-    m_activity = core::now();
-    if (!good)
+    m_lastActivity = core::now();
+    if (!succeeded)
         return close();
-    if (m_lastWritten)
+    if (m_closeAfterWrite)
     {
         // What the caller still sends is read and dropped, or the answer could be lost with a reset.
         m_state = State::Lingering;
@@ -289,49 +293,49 @@
         return read();
     }
     writeNext();
-    m_readOnAt = m_activity;
-    if (nothingOwed() && m_waiting)
-        handOn(*std::exchange(m_waiting, std::nullopt));
-    if (nothingOwed() && m_continueOwed)
+    m_readResumedAt = m_lastActivity;
+    if (hasNoPendingAnswer() && m_deferred)
+        forward(*std::exchange(m_deferred, std::nullopt));
+    if (hasNoPendingAnswer() && m_continuePending)
         writeContinue();
-    takeRequests();
+    readRequests();
     read();
 }
 
 ////////////////////////////////////////////////////////////
-void CallerConnection::sweep(core::Timestamp at)
+void CallerConnection::checkTimeouts(core::Timestamp at)
 {
     const deployment::CallerLimits& limits = m_events.limits();
-    const core::Duration            quiet = at - m_activity;
-    if (m_state == State::Lingering && quiet > lingerTime)
+    const core::Duration            inactive = at - m_lastActivity;
+    if (m_state == State::Lingering && inactive > lingerTimeout)
         return close();
-    if (m_writing && quiet > limits.idleTime)
+    if (m_writing && inactive > limits.idleTime)
         return close();
-    if (m_reader.begun() && mayTakeRequest())
+    if (m_reader.hasRequest() && canReadRequest())
     {
-        const core::Timestamp readSince = std::max(m_reader.since(), m_readOnAt);
-        if (!m_reader.headRead() && at - readSince > limits.headTime)
+        const core::Timestamp readSince = std::max(m_reader.firstByteAt(), m_readResumedAt);
+        if (!m_reader.headComplete() && at - readSince > limits.headTime)
             return refuse(408, "the head took too long");
-        if (m_reader.headRead() && quiet > limits.idleTime)
+        if (m_reader.headComplete() && inactive > limits.idleTime)
             return refuse(408, "the body took too long");
         return;
     }
-    if (m_state == State::Open && nothingOwed() && !m_reader.begun() && quiet > limits.idleTime)
+    if (m_state == State::Open && hasNoPendingAnswer() && !m_reader.hasRequest() && inactive > limits.idleTime)
         close();
 }
 
 ////////////////////////////////////////////////////////////
 void CallerConnection::closeIfIdle()
 {
-    if (restingSince())
+    if (idleSince())
         close();
 }
 
 ////////////////////////////////////////////////////////////
-std::optional<core::Timestamp> CallerConnection::restingSince() const
+std::optional<core::Timestamp> CallerConnection::idleSince() const
 {
-    const bool resting = m_state == State::Open && nothingOwed() && !m_waiting && m_reader.empty();
-    return resting ? std::optional(m_activity) : std::nullopt;
+    const bool idle = m_state == State::Open && hasNoPendingAnswer() && !m_deferred && m_reader.empty();
+    return idle ? std::optional(m_lastActivity) : std::nullopt;
 }
 
 ////////////////////////////////////////////////////////////
@@ -341,16 +345,16 @@
         return;
     const auto self = shared_from_this();
     m_state = State::Closed;
-    m_endTimer.cancel();
+    m_closePollTimer.cancel();
     asio::error_code ignored;
     m_socket.close(ignored);
-    const auto unanswered = m_turns.tickets();
-    m_turns = {};
-    m_waiting.reset();
-    m_memory = {};
+    const auto unanswered = m_pendingAnswers.tickets();
+    m_pendingAnswers = {};
+    m_deferred.reset();
+    m_reservation = {};
     for (const balance::Ticket ticket : unanswered)
         m_events.callerLeft(ticket);
-    m_events.callerGone(*this);
+    m_events.connectionClosed(*this);
 }
 
 } // namespace sailpath::gateway::priv
--- a/src/sailpath/gateway/CallerEvents.hpp
+++ b/src/sailpath/gateway/CallerEvents.hpp
@@ -24,9 +24,9 @@
     [[nodiscard]] virtual balance::Ticket newTicket() = 0; //!< For the next request
 
     virtual void requestRead(CallerConnection& caller, balance::Ticket ticket, CallerRequest request) = 0; //!< Whole
-    virtual void answerLeaves(balance::Ticket ticket) = 0; //!< The turn of its answer has come
-    virtual void callerLeft(balance::Ticket ticket) = 0;   //!< Before the turn of its answer came
-    virtual void callerGone(CallerConnection& caller) = 0; //!< The connection is closed
+    virtual void answerStarted(balance::Ticket ticket) = 0;      //!< The turn of its answer has come
+    virtual void callerLeft(balance::Ticket ticket) = 0;         //!< Before the turn of its answer came
+    virtual void connectionClosed(CallerConnection& caller) = 0; //!< The connection is closed
 
     ////////////////////////////////////////////////////////////
     /// \brief An own answer is given before a whole request was read
@@ -42,11 +42,11 @@
     ////////////////////////////////////////////////////////////
     [[nodiscard]] virtual core::Timestamp earliestArrival() = 0;
 
-    [[nodiscard]] virtual std::string workspaceOf(const http::Head& head) const = 0; //!< Whose request it is
-    [[nodiscard]] virtual bool        mayRepeat(const http::Head& head) const = 0;   //!< It may run more than once
-    [[nodiscard]] virtual const deployment::CallerLimits& limits() const = 0;        //!< In force
+    [[nodiscard]] virtual std::string workspaceOf(const http::Head& head) const = 0;  //!< Whose request it is
+    [[nodiscard]] virtual bool        isRepeatable(const http::Head& head) const = 0; //!< It may run more than once
+    [[nodiscard]] virtual const deployment::CallerLimits& limits() const = 0;         //!< In force
     [[nodiscard]] virtual bool                            configured() const = 0; //!< Whether these are the operator's
-    [[nodiscard]] virtual bool                            leaving() const = 0; //!< Connections end at the next answer
+    [[nodiscard]] virtual bool closesConnections() const = 0; //!< Connections end at the next answer
 };
 
 } // namespace sailpath::gateway::priv
--- a/src/sailpath/gateway/CallerRequest.hpp
+++ b/src/sailpath/gateway/CallerRequest.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "BodyClaim.hpp"
+#include "BodyReservation.hpp"
 
 #include <sailpath/core/Time.hpp>
 #include <sailpath/http/Head.hpp>
@@ -14,10 +14,10 @@
 ////////////////////////////////////////////////////////////
 struct CallerRequest
 {
-    http::Head      head;    //!< As it came
-    std::string     body;    //!< Whole
-    core::Timestamp since{}; //!< When its first byte came
-    BodyClaim       memory;  //!< Of its body
+    http::Head      head;          //!< As it came
+    std::string     body;          //!< Whole
+    core::Timestamp firstByteAt{}; //!< When its first byte came
+    BodyReservation reservation;   //!< Of its body
 };
 
 } // namespace sailpath::gateway::priv
--- a/src/sailpath/gateway/Exchange.cpp
+++ b/src/sailpath/gateway/Exchange.cpp
@@ -32,7 +32,7 @@
 void Exchange::take(CallerRequest request, const Dialect& dialect)
 {
     const http::Head& head = request.head;
-    since = request.since;
+    since = request.firstByteAt;
     id = head.field(dialect.requestId);
     headOnly = head.method == "HEAD";
     startLine = head.method + " " + head.target + " HTTP/1.1\r\n";
@@ -51,11 +51,12 @@
 }
 
 ////////////////////////////////////////////////////////////
-Send Exchange::request(const deployment::Instance& instance, core::Duration left, const Dialect& dialect) const
+OutgoingRequest Exchange::request(const deployment::Instance& instance, core::Duration left,
+                                  const Dialect& dialect) const
 {
     const auto milliseconds =
         std::max<std::int64_t>(1, std::chrono::duration_cast<std::chrono::milliseconds>(left).count());
-    Send send;
+    OutgoingRequest send;
     send.id = id;
     send.headOnly = headOnly;
     send.bytes.reserve(startLine.size() + fields.size() + body.size() + 128);
--- a/src/sailpath/gateway/Exchange.hpp
+++ b/src/sailpath/gateway/Exchange.hpp
@@ -61,7 +61,8 @@
     ///
     /// \param left Time until the server has to be done
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] Send request(const deployment::Instance& instance, core::Duration left, const Dialect& dialect) const;
+    [[nodiscard]] OutgoingRequest request(const deployment::Instance& instance, core::Duration left,
+                                          const Dialect& dialect) const;
 
     ////////////////////////////////////////////////////////////
     /// \brief What the request is known by when it comes again
--- a/src/sailpath/gateway/Gateway.cpp
+++ b/src/sailpath/gateway/Gateway.cpp
@@ -112,8 +112,8 @@
     std::shared_ptr<CallerConnection> longest;
     for (const auto& caller : callers)
     {
-        const auto since = caller->restingSince();
-        if (since && (!longest || *since < *longest->restingSince()))
+        const auto since = caller->idleSince();
+        if (since && (!longest || *since < *longest->idleSince()))
             longest = caller;
     }
     if (!longest)
@@ -152,8 +152,8 @@
             const std::vector<std::shared_ptr<CallerConnection>> all(callers.begin(), callers.end());
             noteRun();
             for (const auto& caller : all)
-                caller->sweep(at);
-            servers.sweep();
+                caller->checkTimeouts(at);
+            servers.closeExpired();
             scheduleSweep();
         });
 }
@@ -297,7 +297,7 @@
         m_impl->balancer.proved(m_impl->provedAt());
     m_impl->balancer.configure(declared, core::now());
     m_impl->servers.setEvacuated(declared.evacuated);
-    m_impl->servers.closeEarlierLives(declared.instances);
+    m_impl->servers.closeRestarted(declared.instances);
     if (declared.deployment)
     {
         m_impl->callerLimits = declared.deployment->limits;
--- a/src/sailpath/gateway/GatewayImpl.hpp
+++ b/src/sailpath/gateway/GatewayImpl.hpp
@@ -62,15 +62,15 @@
     [[nodiscard]] balance::Ticket newTicket() override;
     [[nodiscard]] core::Timestamp earliestArrival() override;
     void requestRead(priv::CallerConnection& caller, balance::Ticket ticket, priv::CallerRequest request) override;
-    void answerLeaves(balance::Ticket ticket) override;
+    void answerStarted(balance::Ticket ticket) override;
     void callerLeft(balance::Ticket ticket) override;
-    void callerGone(priv::CallerConnection& caller) override;
+    void connectionClosed(priv::CallerConnection& caller) override;
     void refusedUnread(const http::Head* head, unsigned status, std::string_view reason) override;
     [[nodiscard]] std::string                     workspaceOf(const http::Head& head) const override;
-    [[nodiscard]] bool                            mayRepeat(const http::Head& head) const override;
+    [[nodiscard]] bool                            isRepeatable(const http::Head& head) const override;
     [[nodiscard]] const deployment::CallerLimits& limits() const override;
     [[nodiscard]] bool                            configured() const override;
-    [[nodiscard]] bool                            leaving() const override;
+    [[nodiscard]] bool                            closesConnections() const override;
 
     asio::io_context&                                   context;
     GatewaySettings                                     settings;
--- a/src/sailpath/gateway/GatewayRequests.cpp
+++ b/src/sailpath/gateway/GatewayRequests.cpp
@@ -13,7 +13,7 @@
 {
 using priv::CallerConnection;
 using priv::Exchange;
-using priv::OwnAnswer;
+using priv::LocalAnswer;
 
 constexpr std::uint64_t longestDeadlineMs = 3'600'000;
 
@@ -65,7 +65,7 @@
     const std::string target(http::pathOf(request.head.target));
     arrival.host = host;
     arrival.target = target;
-    arrival.since = request.since;
+    arrival.since = request.firstByteAt;
     arrival.timeLeft = timeLeft(request.head.field(dialect.deadlineMs));
     const std::string key(keyOf(request.head));
     arrival.key = key;
@@ -94,7 +94,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::Impl::answerLeaves(balance::Ticket ticket)
+void Gateway::Impl::answerStarted(balance::Ticket ticket)
 {
     const auto found = exchanges.find(ticket);
     if (found == exchanges.end())
@@ -114,7 +114,7 @@
         return;
     if (!found->second.ending)
         found->second.end(0, "caller-left", core::now());
-    answerLeaves(ticket);
+    answerStarted(ticket);
 }
 
 ////////////////////////////////////////////////////////////
@@ -131,7 +131,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::Impl::callerGone(CallerConnection& caller)
+void Gateway::Impl::connectionClosed(CallerConnection& caller)
 {
     callers.erase(caller.shared_from_this());
 }
@@ -163,7 +163,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Gateway::Impl::mayRepeat(const http::Head& head) const
+bool Gateway::Impl::isRepeatable(const http::Head& head) const
 {
     const deployment::HostRoute* route = balancer.findRoute(head.field("Host"), http::pathOf(head.target));
     return route != nullptr && route->repeatable;
@@ -182,7 +182,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Gateway::Impl::leaving() const
+bool Gateway::Impl::closesConnections() const
 {
     return isLeaving;
 }
@@ -346,12 +346,12 @@
     counters.secondSends += step.attempt > 1 ? 1 : 0;
     counters.againstNotice += step.leavingFor.count() > 0 || step.backOffLeft.count() > 0 ? 1 : 0;
     exchange.note(step, core::now());
-    const auto connection = servers.take(step.instance, !step.repeatable);
+    const auto connection = servers.acquire(step.instance, !step.repeatable);
     exchange.sends[step.attempt] = connection;
-    const auto ticket = step.ticket;
-    const auto attempt = step.attempt;
-    priv::Send send = exchange.request(*step.instance, step.deadline - core::now(), dialect);
-    send.once = !step.repeatable;
+    const auto            ticket = step.ticket;
+    const auto            attempt = step.attempt;
+    priv::OutgoingRequest send = exchange.request(*step.instance, step.deadline - core::now(), dialect);
+    send.atMostOnce = !step.repeatable;
     connection->send(
         std::move(send),
         [this, ticket, attempt, instance = step.instance](const balance::Outcome& outcome, priv::ServerAnswer answer)
@@ -378,13 +378,13 @@
     ++counters.probes;
     if (const auto found = exchanges.find(step.ticket); found != exchanges.end())
         ++found->second.probes;
-    priv::Send send;
+    priv::OutgoingRequest send;
     send.probe = true;
     send.bytes.append("GET ").append(step.path).append(" HTTP/1.1\r\nHost: ").append(step.instance->address);
     send.bytes.append("\r\n\r\n");
     const auto ticket = step.ticket;
     const auto number = step.attempt;
-    servers.take(step.instance, false)
+    servers.acquire(step.instance, false)
         ->send(std::move(send),
                [this, ticket, number, instance = step.instance](const balance::Outcome&   outcome,
                                                                 const priv::ServerAnswer& answer)
@@ -431,7 +431,7 @@
     }
     else
     {
-        const OwnAnswer own{statusOf(step.refusal), balance::toString(step.refusal.reason), step.refusal.comeBack};
+        const LocalAnswer own{statusOf(step.refusal), balance::toString(step.refusal.reason), step.refusal.comeBack};
         ++(step.refusal.mayHaveRun ? counters.failed : counters.refused);
         exchange.trying = std::max(exchange.trying, step.refusal.trying);
         if (step.refusal.reason == balance::RefusalReason::EndsServers)
@@ -445,7 +445,7 @@
     }
     // Nobody waits for it any more.
     if (!due)
-        answerLeaves(ticket);
+        answerStarted(ticket);
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/gateway/RequestReader.cpp
+++ b/src/sailpath/gateway/RequestReader.cpp
@@ -7,20 +7,20 @@
 {
 namespace
 {
-constexpr std::size_t mostPieces = 64; // Times kept of unread bytes; later ones count as come with the last of these
+constexpr std::size_t maxChunks = 64; // Times kept of unread bytes; later ones count as come with the last of these
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-void RequestReader::received(std::string_view bytes, core::Timestamp at)
+void RequestReader::append(std::string_view bytes, core::Timestamp at)
 {
     if (m_stopped || bytes.empty())
         return;
     m_unread.append(bytes);
-    if (m_pieces.size() < mostPieces)
-        m_pieces.push_back({bytes.size(), at});
+    if (m_chunks.size() < maxChunks)
+        m_chunks.push_back({bytes.size(), at});
     else
-        m_pieces.back().bytes += bytes.size();
+        m_chunks.back().bytes += bytes.size();
 }
 
 ////////////////////////////////////////////////////////////
@@ -28,7 +28,7 @@
 {
     m_stopped = true;
     m_unread.clear();
-    m_pieces.clear();
+    m_chunks.clear();
     m_message.reset();
 }
 
@@ -37,31 +37,31 @@
 {
     // Empty lines before a request are no part of it.
     if (!m_message)
-        drop(std::min(m_unread.find_first_not_of("\r\n"), m_unread.size()));
+        consume(std::min(m_unread.find_first_not_of("\r\n"), m_unread.size()));
     if (!m_message && m_unread.empty())
         return http::ReadState::Head;
     if (!m_message)
     {
         m_message =
             std::make_unique<http::MessageReader>(http::MessageKind::Request, limits.headBytes, limits.bodyBytes);
-        m_since = m_pieces.front().at;
+        m_firstByteAt = m_chunks.front().receivedAt;
     }
-    drop(m_message->read(m_unread));
+    consume(m_message->read(m_unread));
     return m_message->state();
 }
 
 ////////////////////////////////////////////////////////////
-void RequestReader::drop(std::size_t bytes)
+void RequestReader::consume(std::size_t bytes)
 {
     m_unread.erase(0, bytes);
     while (bytes > 0)
     {
-        Piece&            first = m_pieces.front();
-        const std::size_t part = std::min(bytes, first.bytes);
-        first.bytes -= part;
-        bytes -= part;
-        if (first.bytes == 0)
-            m_pieces.pop_front();
+        Chunk&            oldest = m_chunks.front();
+        const std::size_t consumed = std::min(bytes, oldest.bytes);
+        oldest.bytes -= consumed;
+        bytes -= consumed;
+        if (oldest.bytes == 0)
+            m_chunks.pop_front();
     }
 }
 
@@ -72,13 +72,13 @@
 }
 
 ////////////////////////////////////////////////////////////
-void RequestReader::next()
+void RequestReader::finishRequest()
 {
     m_message.reset();
 }
 
 ////////////////////////////////////////////////////////////
-bool RequestReader::begun() const
+bool RequestReader::hasRequest() const
 {
     return m_message != nullptr;
 }
@@ -90,7 +90,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool RequestReader::headRead() const
+bool RequestReader::headComplete() const
 {
     return m_message && m_message->state() != http::ReadState::Head;
 }
@@ -103,21 +103,21 @@
 }
 
 ////////////////////////////////////////////////////////////
-core::Timestamp RequestReader::since() const
+core::Timestamp RequestReader::firstByteAt() const
 {
-    return m_since;
+    return m_firstByteAt;
 }
 
 ////////////////////////////////////////////////////////////
-std::int64_t RequestReader::bodyBytes() const
+std::int64_t RequestReader::bodyBytesToReserve() const
 {
     // A length that is told is reserved whole, so that bodies that grow side by side cannot all fail.
-    const auto told = static_cast<std::int64_t>(m_message->bodyLength().value_or(0));
-    return std::max(told, static_cast<std::int64_t>(m_message->bodySize()));
+    const auto declared = static_cast<std::int64_t>(m_message->bodyLength().value_or(0));
+    return std::max(declared, static_cast<std::int64_t>(m_message->bodySize()));
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t RequestReader::unread() const
+std::size_t RequestReader::unreadBytes() const
 {
     return m_unread.size();
 }
--- a/src/sailpath/gateway/RequestReader.hpp
+++ b/src/sailpath/gateway/RequestReader.hpp
@@ -22,8 +22,8 @@
 class RequestReader
 {
 public:
-    void received(std::string_view bytes, core::Timestamp at); //!< Bytes came
-    void stop();                                               //!< Forget what came; nothing is read any more
+    void append(std::string_view bytes, core::Timestamp receivedAt); //!< Bytes came
+    void stop();                                                     //!< Forget what came; nothing is read any more
 
     ////////////////////////////////////////////////////////////
     /// \brief Read on in the request that was begun, or begin the next
@@ -34,31 +34,31 @@
     ////////////////////////////////////////////////////////////
     [[nodiscard]] http::ReadState read(const deployment::CallerLimits& limits);
 
-    [[nodiscard]] std::string takeBody(); //!< Of the request that is done
-    void                      next();     //!< The request that is done is dealt with
+    [[nodiscard]] std::string takeBody();      //!< Of the request that is done
+    void                      finishRequest(); //!< The request that is done is dealt with
 
-    [[nodiscard]] bool              begun() const;     //!< A request has begun
-    [[nodiscard]] bool              empty() const;     //!< Nothing of a request has come
-    [[nodiscard]] bool              headRead() const;  //!< The head of the request that has begun is whole
-    [[nodiscard]] const http::Head& head() const;      //!< Of the request that has begun
-    [[nodiscard]] core::Timestamp   since() const;     //!< First byte of the request that has begun
-    [[nodiscard]] std::int64_t      bodyBytes() const; //!< Memory for its body: as told, or as come so far
-    [[nodiscard]] std::size_t       unread() const;    //!< Bytes that were not looked at yet
+    [[nodiscard]] bool              hasRequest() const;         //!< A request has begun
+    [[nodiscard]] bool              empty() const;              //!< Nothing of a request has come
+    [[nodiscard]] bool              headComplete() const;       //!< The head of the request that has begun is whole
+    [[nodiscard]] const http::Head& head() const;               //!< Of the request that has begun
+    [[nodiscard]] core::Timestamp   firstByteAt() const;        //!< First byte of the request that has begun
+    [[nodiscard]] std::int64_t      bodyBytesToReserve() const; //!< Memory for its body: as told, or as come so far
+    [[nodiscard]] std::size_t       unreadBytes() const;        //!< Bytes that were not looked at yet
 
 private:
     /// \brief Bytes that came together
-    struct Piece
+    struct Chunk
     {
-        std::size_t     bytes{0}; //!< Of these, not looked at yet
-        core::Timestamp at{};     //!< When they came
+        std::size_t     bytes{0};     //!< Of these, not looked at yet
+        core::Timestamp receivedAt{}; //!< When they came
     };
 
-    void drop(std::size_t bytes);
+    void consume(std::size_t bytes);
 
     std::string                          m_unread;         //!< Bytes not looked at yet
-    std::deque<Piece>                    m_pieces;         //!< When these came, in order
+    std::deque<Chunk>                    m_chunks;         //!< When these came, in order
     std::unique_ptr<http::MessageReader> m_message;        //!< Of the request that has begun; null between requests
-    core::Timestamp                      m_since{};        //!< First byte of that request
+    core::Timestamp                      m_firstByteAt{};  //!< First byte of that request
     bool                                 m_stopped{false}; //!< Nothing is read any more
 };
 
--- a/src/sailpath/gateway/ServerConnection.cpp
+++ b/src/sailpath/gateway/ServerConnection.cpp
@@ -14,31 +14,31 @@
 {
 namespace
 {
-constexpr std::uint32_t headLimit = 64U * 1024;
-constexpr auto          leastProof = std::chrono::milliseconds{1};   // For a reset to arrive, a round trip as a rule:
-constexpr auto          longestProof = std::chrono::milliseconds{5}; // as long as connecting took, within these
+constexpr std::uint32_t maxHeadBytes = 64U * 1024;
+constexpr auto          minResetWait = std::chrono::milliseconds{1}; // For a reset to arrive, a round trip as a rule:
+constexpr auto          maxResetWait = std::chrono::milliseconds{5}; // as long as connecting took, within these
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
 ServerConnection::ServerConnection(asio::io_context& context, std::shared_ptr<const deployment::Instance> instance,
-                                   const GatewaySettings& settings, const Dialect& dialect, Changed changed,
-                                   Noticed noticed) :
+                                   const GatewaySettings& settings, const Dialect& dialect, ChangeCallback onChange,
+                                   NoticeCallback onNotice) :
 m_socket(context),
 m_timer(context),
 m_instance(std::move(instance)),
 m_settings(settings),
 m_dialect(dialect),
-m_changed(std::move(changed)),
-m_noticed(std::move(noticed))
+m_onChange(std::move(onChange)),
+m_onNotice(std::move(onNotice))
 {
 }
 
 ////////////////////////////////////////////////////////////
-void ServerConnection::send(Send request, Done done)
+void ServerConnection::send(OutgoingRequest request, DoneCallback onDone)
 {
     m_request = std::move(request);
-    m_done = std::move(done);
+    m_onDone = std::move(onDone);
     startReader();
     if (m_state == State::New)
         return connect();
@@ -47,25 +47,25 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServerConnection::check(Checked checked)
+void ServerConnection::check(CheckCallback onChecked)
 {
-    m_checked = std::move(checked);
+    m_onChecked = std::move(onChecked);
     connect();
 }
 
 ////////////////////////////////////////////////////////////
-void ServerConnection::tellCheck(balance::CheckResult result)
+void ServerConnection::reportCheck(balance::CheckResult result)
 {
-    if (const Checked checked = std::exchange(m_checked, nullptr))
-        checked(result);
+    if (const CheckCallback onChecked = std::exchange(m_onChecked, nullptr))
+        onChecked(result);
 }
 
 ////////////////////////////////////////////////////////////
 void ServerConnection::startReader()
 {
     const auto kind = m_request.headOnly ? http::MessageKind::AnswerNoBody : http::MessageKind::Answer;
-    m_reader = std::make_unique<http::MessageReader>(kind, headLimit, m_settings.answerBytes);
-    m_headHeard = false;
+    m_reader = std::make_unique<http::MessageReader>(kind, maxHeadBytes, m_settings.answerBytes);
+    m_noticeReported = false;
 }
 
 ////////////////////////////////////////////////////////////
@@ -76,44 +76,44 @@
     asio::error_code ignored;
     m_socket.open(asio::ip::tcp::v4(), ignored);
     m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-    const asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT> silence(
+    const asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT> userTimeout(
         static_cast<int>(m_settings.silence.count() / 1000));
-    m_socket.set_option(silence, ignored);
+    m_socket.set_option(userTimeout, ignored);
     auto self = shared_from_this();
     m_timer.expires_after(m_settings.connectTimeout);
     m_timer.async_wait(
         [self](const asio::error_code& error)
         {
             if (!error && self->m_state == State::Connecting)
-                self->ended(false);
+                self->handleEnd(false);
         });
-    const asio::ip::tcp::endpoint where(asio::ip::make_address(m_instance->address, ignored), m_instance->port);
-    m_socket.async_connect(where,
+    const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(m_instance->address, ignored), m_instance->port);
+    m_socket.async_connect(endpoint,
                            [self](const asio::error_code& error)
                            {
                                if (self->m_state != State::Connecting)
                                    return;
                                self->m_timer.cancel();
                                if (error == asio::error::connection_refused)
-                                   self->tellCheck(balance::CheckResult::Refuses);
+                                   self->reportCheck(balance::CheckResult::Refuses);
                                if (error)
-                                   return self->ended(false);
-                               self->connected();
+                                   return self->handleEnd(false);
+                               self->handleConnected();
                            });
 }
 
 ////////////////////////////////////////////////////////////
-void ServerConnection::connected()
+void ServerConnection::handleConnected()
 {
     read();
-    if (m_checked)
+    if (m_onChecked)
     {
         m_state = State::Idle;
         m_since = core::now();
-        m_changed(*this);
-        return tellCheck(balance::CheckResult::Accepts);
+        m_onChange(*this);
+        return reportCheck(balance::CheckResult::Accepts);
     }
-    if (!m_request.once)
+    if (!m_request.atMostOnce)
     {
         m_state = State::Busy;
         return write();
@@ -122,7 +122,7 @@
     // has not run; afterwards nobody could tell.
     const auto tookToConnect = core::now() - m_since;
     auto       self = shared_from_this();
-    m_timer.expires_after(std::clamp<core::Duration>(tookToConnect, leastProof, longestProof));
+    m_timer.expires_after(std::clamp<core::Duration>(tookToConnect, minResetWait, maxResetWait));
     m_timer.async_wait(
         [self](const asio::error_code& error)
         {
@@ -136,13 +136,13 @@
 ////////////////////////////////////////////////////////////
 void ServerConnection::write()
 {
-    m_written = false;
+    m_requestWritten = false;
     auto self = shared_from_this();
     asio::async_write(m_socket, asio::buffer(m_request.bytes),
                       [self](const asio::error_code& error, std::size_t)
                       {
                           // An error shows on the reading side too, where an answer may still wait.
-                          self->m_written = !error;
+                          self->m_requestWritten = !error;
                       });
 }
 
@@ -155,19 +155,19 @@
                              {
                                  if (self->m_state == State::Closed)
                                      return;
-                                 const bool inOrder = error == asio::error::eof;
+                                 const bool cleanEnd = error == asio::error::eof;
                                  const bool reset =
                                      error == asio::error::connection_reset || error == asio::error::broken_pipe;
                                  if (error)
-                                     return self->ended(inOrder, inOrder || reset);
-                                 self->received(bytes);
+                                     return self->handleEnd(cleanEnd, cleanEnd || reset);
+                                 self->handleBytes(bytes);
                                  if (self->m_state != State::Closed)
                                      self->read();
                              });
 }
 
 ////////////////////////////////////////////////////////////
-void ServerConnection::received(std::size_t bytes)
+void ServerConnection::handleBytes(std::size_t bytes)
 {
     // Bytes that come at rest belong to no request.
     if (m_state != State::Busy)
@@ -178,17 +178,17 @@
         m_unread.erase(0, m_reader->read(m_unread));
         const http::ReadState state = m_reader->state();
         if (state == http::ReadState::Body || state == http::ReadState::Done)
-            hearNotice();
+            reportNotice();
         if (state == http::ReadState::Head || state == http::ReadState::Body)
             return;
         if (state != http::ReadState::Done)
-            return ended(false);
-        answered();
+            return handleEnd(false);
+        handleAnswer();
     }
 }
 
 ////////////////////////////////////////////////////////////
-bool ServerConnection::belongs(const http::Head& head) const
+bool ServerConnection::answersRequest(const http::Head& head) const
 {
     const std::string_view id = head.field(m_dialect.requestId);
     const bool             success = head.status >= 200 && head.status < 300;
@@ -198,76 +198,76 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServerConnection::hearNotice()
+void ServerConnection::reportNotice()
 {
-    if (std::exchange(m_headHeard, true))
+    if (std::exchange(m_noticeReported, true))
         return;
     // An answer that nobody waits for any more, or that comes twice, speaks for its server all the same.
-    const balance::ServerNotice notice = noticeOf(m_reader->head(), m_request.probe, m_instance->id, m_dialect);
+    const balance::ServerNotice notice = parseNotice(m_reader->head(), m_request.probe, m_instance->id, m_dialect);
     if (!notice.empty())
-        m_noticed(m_instance, notice,
-                  m_request.probe ? balance::NoticeSource::HealthAnswer : balance::NoticeSource::Answer);
+        m_onNotice(m_instance, notice,
+                   m_request.probe ? balance::NoticeSource::HealthAnswer : balance::NoticeSource::Answer);
 }
 
 ////////////////////////////////////////////////////////////
-void ServerConnection::answered()
+void ServerConnection::handleAnswer()
 {
     const http::Head& head = m_reader->head();
     const bool        interim = head.status < 200;
-    if (interim || !belongs(head))
+    if (interim || !answersRequest(head))
     {
         // An answer to an earlier request, or none yet; the one that is due may follow.
-        m_poisoned = m_poisoned || !interim;
+        m_notReusable = m_notReusable || !interim;
         if (head.untilEnd)
-            return ended(false);
+            return handleEnd(false);
         startReader();
         return;
     }
     const balance::Outcome outcome =
-        m_request.probe ? judgeProbe(head, m_instance->id, m_dialect) : judgeAnswer(head, m_dialect);
+        m_request.probe ? classifyProbe(head, m_instance->id, m_dialect) : classifyAnswer(head, m_dialect);
     // After what is not the server's answer, the one that is due may still come.
-    const bool sound = outcome.end != balance::AttemptEnd::Lost && !m_poisoned;
-    const bool keep = head.keepAlive && !head.untilEnd && m_written && sound && m_unread.empty();
-    m_restLimit = keepAliveOf(head);
+    const bool reusable = outcome.end != balance::AttemptEnd::Lost && !m_notReusable;
+    const bool keep = head.keepAlive && !head.untilEnd && m_requestWritten && reusable && m_unread.empty();
+    m_keepAliveTimeout = parseKeepAlive(head);
     ServerAnswer answer{head, m_reader->takeBody()};
     finish(outcome, std::move(answer), keep);
 }
 
 ////////////////////////////////////////////////////////////
-void ServerConnection::ended(bool inOrder, bool byServer)
+void ServerConnection::handleEnd(bool cleanEnd, bool byServer)
 {
-    const State before = m_state;
-    if (before == State::Busy && inOrder && m_reader->state() == http::ReadState::Body)
+    const State previous = m_state;
+    if (previous == State::Busy && cleanEnd && m_reader->state() == http::ReadState::Body)
     {
         m_reader->ended();
-        if (m_reader->state() == http::ReadState::Done && belongs(m_reader->head()))
-            return answered();
+        if (m_reader->state() == http::ReadState::Done && answersRequest(m_reader->head()))
+            return handleAnswer();
     }
     m_state = State::Closed;
     asio::error_code ignored;
     m_timer.cancel();
     m_socket.close(ignored);
-    tellCheck(balance::CheckResult::Unknown);
-    if (before == State::Connecting || before == State::Busy)
+    reportCheck(balance::CheckResult::Unknown);
+    if (previous == State::Connecting || previous == State::Busy)
     {
         balance::Outcome outcome;
-        outcome.connectionEnded = before == State::Busy && byServer;
-        outcome.end = before == State::Connecting ? balance::AttemptEnd::NotSent : balance::AttemptEnd::Lost;
-        const Done done = std::move(m_done);
-        m_done = nullptr;
-        m_changed(*this);
-        if (done)
-            done(outcome, {});
+        outcome.connectionEnded = previous == State::Busy && byServer;
+        outcome.end = previous == State::Connecting ? balance::AttemptEnd::NotSent : balance::AttemptEnd::Lost;
+        const DoneCallback onDone = std::move(m_onDone);
+        m_onDone = nullptr;
+        m_onChange(*this);
+        if (onDone)
+            onDone(outcome, {});
         return;
     }
-    m_changed(*this);
+    m_onChange(*this);
 }
 
 ////////////////////////////////////////////////////////////
 void ServerConnection::finish(const balance::Outcome& outcome, ServerAnswer answer, bool keep)
 {
-    const Done done = std::move(m_done);
-    m_done = nullptr;
+    const DoneCallback onDone = std::move(m_onDone);
+    m_onDone = nullptr;
     m_unread.clear();
     m_since = core::now();
     m_state = keep ? State::Idle : State::Closed;
@@ -276,15 +276,15 @@
         asio::error_code ignored;
         m_socket.close(ignored);
     }
-    m_changed(*this);
-    if (done)
-        done(outcome, std::move(answer));
+    m_onChange(*this);
+    if (onDone)
+        onDone(outcome, std::move(answer));
 }
 
 ////////////////////////////////////////////////////////////
 void ServerConnection::abandon()
 {
-    m_done = nullptr;
+    m_onDone = nullptr;
     close();
 }
 
@@ -292,7 +292,7 @@
 void ServerConnection::close()
 {
     if (m_state != State::Closed)
-        ended(false);
+        handleEnd(false);
 }
 
 ////////////////////////////////////////////////////////////
@@ -314,15 +314,15 @@
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration ServerConnection::rest() const
+core::Duration ServerConnection::idleTime() const
 {
     return core::now() - m_since;
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration ServerConnection::restLimit() const
+core::Duration ServerConnection::keepAliveTimeout() const
 {
-    return m_restLimit;
+    return m_keepAliveTimeout;
 }
 
 } // namespace sailpath::gateway::priv
--- a/src/sailpath/gateway/ServerConnections.cpp
+++ b/src/sailpath/gateway/ServerConnections.cpp
@@ -6,18 +6,18 @@
 {
 ////////////////////////////////////////////////////////////
 ServerConnections::ServerConnections(asio::io_context& context, const GatewaySettings& settings, const Dialect& dialect,
-                                     Counted counted, ServerConnection::Noticed noticed) :
+                                     CountCallback onCount, ServerConnection::NoticeCallback onNotice) :
 m_context(context),
 m_settings(settings),
 m_dialect(dialect),
-m_counted(std::move(counted)),
-m_noticed(std::move(noticed))
+m_onCount(std::move(onCount)),
+m_onNotice(std::move(onNotice))
 {
 }
 
 ////////////////////////////////////////////////////////////
-std::shared_ptr<ServerConnection> ServerConnections::take(const std::shared_ptr<const deployment::Instance>& instance,
-                                                          bool                                               proven)
+std::shared_ptr<ServerConnection>
+ServerConnections::acquire(const std::shared_ptr<const deployment::Instance>& instance, bool recentlyUsed)
 {
     List&                             list = m_byInstance[instance->id];
     // The one that came to rest last is the likeliest to be open still.
@@ -25,10 +25,10 @@
     for (const auto& connection : list)
     {
         const core::Duration limit =
-            proven ? std::min(m_settings.provenFor, restLimit(*connection)) : restLimit(*connection);
-        const bool usable =
-            connection->idle() && connection->rest() < limit && deployment::sameLife(connection->instance(), *instance);
-        if (usable && (!best || connection->rest() < best->rest()))
+            recentlyUsed ? std::min(m_settings.provenFor, idleLimit(*connection)) : idleLimit(*connection);
+        const bool usable = connection->idle() && connection->idleTime() < limit &&
+                            deployment::sameLife(connection->instance(), *instance);
+        if (usable && (!best || connection->idleTime() < best->idleTime()))
             best = connection;
     }
     return best ? best : add(instance);
@@ -39,39 +39,40 @@
 {
     ++m_opened;
     auto added = std::make_shared<ServerConnection>(
-        m_context, instance, m_settings, m_dialect, [this](ServerConnection& connection) { changed(connection); },
-        m_noticed);
+        m_context, instance, m_settings, m_dialect,
+        [this](ServerConnection& connection) { connectionChanged(connection); }, m_onNotice);
     m_byInstance[instance->id].push_back(added);
     return added;
 }
 
 ////////////////////////////////////////////////////////////
 void ServerConnections::check(const std::shared_ptr<const deployment::Instance>& instance,
-                              ServerConnection::Checked                          checked)
+                              ServerConnection::CheckCallback                    onChecked)
 {
-    add(instance)->check(std::move(checked));
+    add(instance)->check(std::move(onChecked));
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration ServerConnections::restLimit(const ServerConnection& connection) const
+core::Duration ServerConnections::idleLimit(const ServerConnection& connection) const
 {
-    const core::Duration told = connection.restLimit() * 6 / 10;
-    return told.count() > 0 ? std::min(told, m_settings.serverIdle) : m_settings.serverIdle;
+    const core::Duration declaredLimit = connection.keepAliveTimeout() * 6 / 10;
+    return declaredLimit.count() > 0 ? std::min(declaredLimit, m_settings.serverIdle) : m_settings.serverIdle;
 }
 
 ////////////////////////////////////////////////////////////
-void ServerConnections::sweep()
+void ServerConnections::closeExpired()
 {
-    closeWhere(
+    closeIdleWhere(
         [this](const ServerConnection& connection) {
-            return connection.rest() > restLimit(connection) || m_evacuated.contains(connection.instance().dataCentre);
+            return connection.idleTime() > idleLimit(connection) ||
+                   m_evacuated.contains(connection.instance().dataCentre);
         });
 }
 
 ////////////////////////////////////////////////////////////
 void ServerConnections::closeIdle()
 {
-    closeWhere([](const ServerConnection&) { return true; });
+    closeIdleWhere([](const ServerConnection&) { return true; });
 }
 
 ////////////////////////////////////////////////////////////
@@ -80,25 +81,25 @@
     if (dataCentres == m_evacuated)
         return;
     m_evacuated = dataCentres;
-    sweep();
+    closeExpired();
 }
 
 ////////////////////////////////////////////////////////////
-void ServerConnections::closeEarlierLives(std::span<const deployment::Instance> instances)
+void ServerConnections::closeRestarted(std::span<const deployment::Instance> instances)
 {
     std::unordered_map<std::string_view, std::uint64_t> born;
     for (const deployment::Instance& instance : instances)
         born.emplace(instance.id, instance.born);
-    closeWhere(
+    closeIdleWhere(
         [&born](const ServerConnection& connection)
         {
-            const auto now = born.find(connection.instance().id);
-            return now != born.end() && now->second != connection.instance().born;
+            const auto current = born.find(connection.instance().id);
+            return current != born.end() && current->second != connection.instance().born;
         });
 }
 
 ////////////////////////////////////////////////////////////
-void ServerConnections::closeWhere(const std::function<bool(const ServerConnection&)>& condition)
+void ServerConnections::closeIdleWhere(const std::function<bool(const ServerConnection&)>& condition)
 {
     std::vector<std::shared_ptr<ServerConnection>> chosen;
     for (const auto& [id, list] : m_byInstance)
@@ -109,7 +110,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServerConnections::changed(ServerConnection& connection)
+void ServerConnections::connectionChanged(ServerConnection& connection)
 {
     const deployment::Instance instance = connection.instance();
     if (connection.closed())
@@ -122,18 +123,18 @@
                 m_byInstance.erase(found);
         }
     }
-    count(instance);
+    reportCounts(instance);
 }
 
 ////////////////////////////////////////////////////////////
-void ServerConnections::count(const deployment::Instance& instance)
+void ServerConnections::reportCounts(const deployment::Instance& instance)
 {
     const auto found = m_byInstance.find(instance.id);
     if (found == m_byInstance.end())
-        return m_counted(instance, 0, 0);
+        return m_onCount(instance, 0, 0);
     const auto idle =
         std::count_if(found->second.begin(), found->second.end(), [](const auto& item) { return item->idle(); });
-    m_counted(instance, static_cast<unsigned>(idle), static_cast<unsigned>(found->second.size()));
+    m_onCount(instance, static_cast<unsigned>(idle), static_cast<unsigned>(found->second.size()));
 }
 
 ////////////////////////////////////////////////////////////
--- a/test/gateway/Accepting.test.cpp
+++ b/test/gateway/Accepting.test.cpp
@@ -18,23 +18,23 @@
 ////////////////////////////////////////////////////////////
 /// \brief Holds the process to few descriptors for a while
 ////////////////////////////////////////////////////////////
-class FewDescriptors
+class DescriptorLimit
 {
 public:
-    explicit FewDescriptors(rlim_t most)
+    explicit DescriptorLimit(rlim_t limit)
     {
         ::getrlimit(RLIMIT_NOFILE, &m_before);
-        const rlimit few{most, m_before.rlim_max};
-        ::setrlimit(RLIMIT_NOFILE, &few);
+        const rlimit lowered{limit, m_before.rlim_max};
+        ::setrlimit(RLIMIT_NOFILE, &lowered);
     }
 
-    ~FewDescriptors()
+    ~DescriptorLimit()
     {
         ::setrlimit(RLIMIT_NOFILE, &m_before);
     }
 
-    FewDescriptors(const FewDescriptors&) = delete;
-    FewDescriptors& operator=(const FewDescriptors&) = delete;
+    DescriptorLimit(const DescriptorLimit&) = delete;
+    DescriptorLimit& operator=(const DescriptorLimit&) = delete;
 
 private:
     rlimit m_before{};
@@ -45,7 +45,7 @@
 // A node that says that it is ready takes new connections.
 BOOST_AUTO_TEST_SUITE(AcceptingTest)
 
-BOOST_AUTO_TEST_CASE(ANewCallerTakesThePlaceOfTheOneThatRestedLongest)
+BOOST_AUTO_TEST_CASE(ANewCallerReplacesTheOneThatWasIdleLongest)
 {
     Fixture    setup(Fixture::echo, true, 10s, 2);
     TestCaller first(setup.gateway->port());
@@ -58,26 +58,26 @@
     TestCaller third(setup.gateway->port());
     third.write(Fixture::request("/read/x", "a3"));
     BOOST_TEST(statusOf(third.readAnswer()) == 200);
-    BOOST_TEST(first.ended());
+    BOOST_TEST(first.closedByPeer());
     second.write(Fixture::request("/read/x", "a4"));
     BOOST_TEST(statusOf(second.readAnswer()) == 200);
 }
 
-BOOST_AUTO_TEST_CASE(WhenDescriptorsHaveRunOutCallersAtRestGiveTheirsBack)
+BOOST_AUTO_TEST_CASE(IdleCallersAreClosedWhenDescriptorsRunOut)
 {
     Fixture                                  setup(Fixture::echo, true, 10s);
-    std::vector<std::unique_ptr<TestCaller>> resting;
-    resting.reserve(10);
+    std::vector<std::unique_ptr<TestCaller>> idle;
+    idle.reserve(10);
     for (int i = 0; i < 10; ++i)
-        resting.push_back(std::make_unique<TestCaller>(setup.gateway->port()));
-    resting.back()->write(Fixture::request("/read/x", "a1"));
-    BOOST_TEST(statusOf(resting.back()->readAnswer()) == 200);
+        idle.push_back(std::make_unique<TestCaller>(setup.gateway->port()));
+    idle.back()->write(Fixture::request("/read/x", "a1"));
+    BOOST_TEST(statusOf(idle.back()->readAnswer()) == 200);
     // This caller's loop takes three descriptors and its socket the last one, so none is left to accept it with.
     const int next = ::dup(0);
     ::close(next);
-    const FewDescriptors few(static_cast<rlim_t>(next) + 4);
-    const auto           begin = std::chrono::steady_clock::now();
-    TestCaller           late(setup.gateway->port());
+    const DescriptorLimit lowered(static_cast<rlim_t>(next) + 4);
+    const auto            begin = std::chrono::steady_clock::now();
+    TestCaller            late(setup.gateway->port());
     late.write(Fixture::request("/read/x", "a2"));
     BOOST_TEST(statusOf(late.readAnswer()) == 200);
     // Sooner than those at rest reach the end of the rest that they are allowed.
--- a/test/gateway/AnswerHead.test.cpp
+++ b/test/gateway/AnswerHead.test.cpp
@@ -9,9 +9,9 @@
 using namespace sailpath;
 using namespace std::chrono_literals;
 using balance::AttemptEnd;
-using gateway::priv::judgeAnswer;
-using gateway::priv::judgeProbe;
-using gateway::priv::noticeOf;
+using gateway::priv::classifyAnswer;
+using gateway::priv::classifyProbe;
+using gateway::priv::parseNotice;
 
 ////////////////////////////////////////////////////////////
 gateway::Dialect dialectWithLoad()
@@ -38,26 +38,26 @@
 
 BOOST_AUTO_TEST_SUITE(AnswerHeadTest)
 
-BOOST_AUTO_TEST_CASE(ALoadIsThatOfTheInstanceThatWasAskedOrOfNobody)
+BOOST_AUTO_TEST_CASE(ALoadCountsOnlyFromTheInstanceThatWasAsked)
 {
     const http::HeaderField load{"X-Load", "7,0,8"};
-    BOOST_TEST(judgeAnswer(headOf(200, {{"X-Id", "r"}, {"X-Mark", "m"}, load}), dialect).load.has_value());
-    BOOST_TEST(judgeAnswer(headOf(503, {{"X-Id", "r"}, {"X-Not-Run", "full"}, load}), dialect).load.has_value());
+    BOOST_TEST(classifyAnswer(headOf(200, {{"X-Id", "r"}, {"X-Mark", "m"}, load}), dialect).load.has_value());
+    BOOST_TEST(classifyAnswer(headOf(503, {{"X-Id", "r"}, {"X-Not-Run", "full"}, load}), dialect).load.has_value());
     // Another instance has the address and tells its own load.
-    const auto misdirected = judgeAnswer(headOf(421, {{"X-Id", "r"}, {"X-Not-Run", "other"}, load}), dialect);
+    const auto misdirected = classifyAnswer(headOf(421, {{"X-Id", "r"}, {"X-Not-Run", "other"}, load}), dialect);
     BOOST_TEST(misdirected.misdirected);
     BOOST_TEST(!misdirected.load.has_value());
-    BOOST_TEST(!judgeAnswer(headOf(500, {load}), dialect).load.has_value());
-    BOOST_TEST(judgeProbe(headOf(200, {{"X-Who", "i-1"}, load}), "i-1", dialect).load.has_value());
-    BOOST_TEST(!judgeProbe(headOf(200, {{"X-Who", "i-2"}, load}), "i-1", dialect).load.has_value());
+    BOOST_TEST(!classifyAnswer(headOf(500, {load}), dialect).load.has_value());
+    BOOST_TEST(classifyProbe(headOf(200, {{"X-Who", "i-1"}, load}), "i-1", dialect).load.has_value());
+    BOOST_TEST(!classifyProbe(headOf(200, {{"X-Who", "i-2"}, load}), "i-1", dialect).load.has_value());
 }
 
-BOOST_AUTO_TEST_CASE(OfSeveralBackOffsTheLongestHoldsAndOneOfHoursIsCut)
+BOOST_AUTO_TEST_CASE(TheLongestBackOffAppliesAndIsCappedAtOneHour)
 {
     const auto backOff = [](std::vector<http::HeaderField> fields, unsigned status = 503)
     {
         fields.push_back({"X-Id", "r"});
-        return noticeOf(headOf(status, std::move(fields)), false, "i-1", dialect).backOff;
+        return parseNotice(headOf(status, std::move(fields)), false, "i-1", dialect).backOff;
     };
     BOOST_TEST((backOff({{"Retry-After", "1.5"}, {"Retry-After", "0.5"}}) == 1500ms));
     BOOST_TEST((backOff({{"Retry-After", "1e9"}}) == 1h));
@@ -67,20 +67,21 @@
     BOOST_TEST((backOff({{"Retry-After", "2"}}, 429) == 0ms));
 }
 
-BOOST_AUTO_TEST_CASE(OfSeveralFieldsOneThatSaysItLeavesIsEnough)
+BOOST_AUTO_TEST_CASE(OneFieldOfSeveralIsEnoughToReportLeaving)
 {
     const auto leaving = [](std::vector<http::HeaderField> fields)
-    { return noticeOf(headOf(200, std::move(fields)), false, "i-1", dialect).leaving; };
+    { return parseNotice(headOf(200, std::move(fields)), false, "i-1", dialect).leaving; };
     BOOST_TEST(leaving({{"X-Id", "r"}, {"X-Leaving", "no"}, {"leaving", "yes"}}));
     BOOST_TEST(!leaving({{"X-Id", "r"}, {"X-Leaving", "no"}}));
     BOOST_TEST(!leaving({{"X-Leaving", "yes"}}));
     BOOST_TEST(!leaving({{"X-Id", "r"}, {"X-Who", "i-2"}, {"X-Leaving", "yes"}}));
 }
 
-BOOST_AUTO_TEST_CASE(WhatA503AsksForIsNotPassedOnToItsCaller)
+BOOST_AUTO_TEST_CASE(RetryAfterOfA503IsNotPassedOnToTheCaller)
 {
-    const auto comeBack = [](unsigned status) {
-        return judgeAnswer(headOf(status, {{"X-Id", "r"}, {"X-Not-Run", "full"}, {"Retry-After", "2"}}), dialect)
+    const auto comeBack = [](unsigned status)
+    {
+        return classifyAnswer(headOf(status, {{"X-Id", "r"}, {"X-Not-Run", "full"}, {"Retry-After", "2"}}), dialect)
             .comeBack;
     };
     BOOST_TEST((comeBack(503) == 0ms));
--- a/test/gateway/Gateway.test.cpp
+++ b/test/gateway/Gateway.test.cpp
@@ -183,9 +183,9 @@
     while (setup.server.requests().empty())
         std::this_thread::sleep_for(1ms);
     caller.close();
-    for (int i = 0; i < 5000 && setup.server.hangUps() == 0; ++i)
+    for (int i = 0; i < 5000 && setup.server.clientCloses() == 0; ++i)
         std::this_thread::sleep_for(1ms);
-    BOOST_TEST(setup.server.hangUps() >= 1U);
+    BOOST_TEST(setup.server.clientCloses() >= 1U);
 }
 
 BOOST_AUTO_TEST_CASE(AtTheRoutesTimeTheFinalAnswerComes)
@@ -230,7 +230,7 @@
     slow.write("GET /read/x HTTP/1.1\r\nHost:");
     BOOST_TEST(statusOf(slow.readAnswer()) == 408);
     TestCaller idle(setup.gateway->port());
-    BOOST_TEST(idle.ended());
+    BOOST_TEST(idle.closedByPeer());
 }
 
 BOOST_AUTO_TEST_CASE(BodiesTogetherAreBounded)
@@ -297,7 +297,7 @@
     BOOST_TEST(statusOf(answer) == 200);
     BOOST_TEST(fieldOf(answer, "Connection") == "close");
     setup.onLoop([&] { setup.gateway->closeIdle(); });
-    BOOST_TEST(idle.ended());
+    BOOST_TEST(idle.closedByPeer());
 }
 
 BOOST_AUTO_TEST_CASE(WhatIsUnderWayOutlivesItsServersEntryAndItsRoute)
--- a/test/gateway/NewConnections.test.cpp
+++ b/test/gateway/NewConnections.test.cpp
@@ -31,7 +31,7 @@
 
     ~ResettingServer()
     {
-        m_ending = true;
+        m_stopping = true;
         ::shutdown(m_acceptor.native_handle(), SHUT_RDWR);
         m_thread.join();
     }
@@ -51,7 +51,7 @@
 private:
     void serve()
     {
-        while (!m_ending)
+        while (!m_stopping)
         {
             asio::ip::tcp::socket socket(m_context);
             asio::error_code      error;
@@ -64,22 +64,22 @@
         }
     }
 
-    asio::io_context        m_context;       //!< For the sockets
-    asio::ip::tcp::acceptor m_acceptor;      //!< Listens
-    std::atomic<bool>       m_ending{false}; //!< The server ends
-    std::atomic<unsigned>   m_resets{0};     //!< Connections reset
-    std::thread             m_thread;        //!< Accepts
+    asio::io_context        m_context;         //!< For the sockets
+    asio::ip::tcp::acceptor m_acceptor;        //!< Listens
+    std::atomic<bool>       m_stopping{false}; //!< The server ends
+    std::atomic<unsigned>   m_resets{0};       //!< Connections reset
+    std::thread             m_thread;          //!< Accepts
 };
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(NewConnectionsTest)
 
-BOOST_AUTO_TEST_CASE(WhatMayNotBeRepeatedHasNotRunWhenANewConnectionIsResetAtOnce)
+BOOST_AUTO_TEST_CASE(ANonRepeatableRequestHasNotRunWhenItsNewConnectionIsReset)
 {
     PatientFixture  setup;
-    ResettingServer full;
-    setup.declared.instances = {{"i-1", "portal", "127.0.0.1", full.port(), "dc", 3, false, {}}};
+    ResettingServer resetting;
+    setup.declared.instances = {{"i-1", "portal", "127.0.0.1", resetting.port(), "dc", 3, false, {}}};
     setup.onLoop([&] { setup.gateway->configure(setup.declared); });
     for (int i = 0; i < 20; ++i)
     {
@@ -89,14 +89,14 @@
         BOOST_TEST(statusOf(answer) == 503);
         BOOST_TEST(!fieldOf(answer, "Retry-After").empty());
     }
-    BOOST_TEST(full.resets() >= 20U);
+    BOOST_TEST(resetting.resets() >= 20U);
 }
 
-BOOST_AUTO_TEST_CASE(WhatMayNotBeRepeatedGoesToAnotherServerThen)
+BOOST_AUTO_TEST_CASE(ANonRepeatableRequestGoesToAnotherServerAfterAReset)
 {
     PatientFixture  setup;
-    ResettingServer full;
-    setup.declared.instances.push_back({"i-2", "portal", "127.0.0.1", full.port(), "dc", 3, false, {}});
+    ResettingServer resetting;
+    setup.declared.instances.push_back({"i-2", "portal", "127.0.0.1", resetting.port(), "dc", 3, false, {}});
     setup.onLoop([&] { setup.gateway->configure(setup.declared); });
     for (int i = 0; i < 20; ++i)
     {
--- a/test/gateway/Pipelining.test.cpp
+++ b/test/gateway/Pipelining.test.cpp
@@ -17,7 +17,7 @@
 using support::statusOf;
 using support::TestCaller;
 
-constexpr std::size_t mostSideBySide = 16; // As CallerConnection bounds it
+constexpr std::size_t maxPipelined = 16; // As CallerConnection bounds it
 constexpr std::size_t sixtyFourKilobytes = 65536;
 
 ////////////////////////////////////////////////////////////
@@ -32,13 +32,13 @@
         configure();
     }
 
-    [[nodiscard]] std::string logged()
+    [[nodiscard]] std::string logText()
     {
         const std::lock_guard<std::mutex> lock(log.mutex);
         return log.text;
     }
 
-    [[nodiscard]] bool sent(const std::string& id) const
+    [[nodiscard]] bool serverReceived(const std::string& id) const
     {
         const auto requests = server.requests();
         return std::any_of(requests.begin(), requests.end(),
@@ -54,7 +54,7 @@
 };
 
 ////////////////////////////////////////////////////////////
-std::string reads(int from, int to)
+std::string readRequests(int from, int to)
 {
     std::string all;
     for (int i = from; i < to; ++i)
@@ -65,7 +65,7 @@
 ////////////////////////////////////////////////////////////
 /// \brief The server takes this long for each request, by id
 ////////////////////////////////////////////////////////////
-ScriptedServer::Answer slowly(const std::map<std::string, std::chrono::milliseconds>& delays)
+ScriptedServer::Answer delayedEcho(const std::map<std::string, std::chrono::milliseconds>& delays)
 {
     return [delays](const std::string& request)
     {
@@ -78,7 +78,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-Script neverAnswers(const std::string&)
+Script neverAnswer(const std::string&)
 {
     Script script;
     script.silent = true;
@@ -105,19 +105,19 @@
 
 BOOST_AUTO_TEST_CASE(AnswersComeInTheOrderOfTheRequests)
 {
-    RoomyFixture setup(slowly({{"a0", 300ms}, {"a1", 200ms}, {"a2", 100ms}}));
+    RoomyFixture setup(delayedEcho({{"a0", 300ms}, {"a1", 200ms}, {"a2", 100ms}}));
     TestCaller   caller(setup.gateway->port());
-    caller.write(reads(0, 4));
+    caller.write(readRequests(0, 4));
     for (int i = 0; i < 4; ++i)
         BOOST_TEST(caller.readAnswer().ends_with("for a" + std::to_string(i)));
 }
 
-BOOST_AUTO_TEST_CASE(ASlowFirstAnswerDoesNotDelayTheSecondsDispatch)
+BOOST_AUTO_TEST_CASE(ASlowFirstAnswerDoesNotDelayTheSecondRequest)
 {
-    RoomyFixture setup(slowly({{"a0", 1500ms}}));
+    RoomyFixture setup(delayedEcho({{"a0", 1500ms}}));
     TestCaller   caller(setup.gateway->port());
     const auto   begin = std::chrono::steady_clock::now();
-    caller.write(reads(0, 2));
+    caller.write(readRequests(0, 2));
     setup.waitForRequests(2);
     BOOST_TEST((std::chrono::steady_clock::now() - begin < 1s));
     BOOST_TEST(caller.readAnswer().ends_with("for a0"));
@@ -142,17 +142,17 @@
     BOOST_TEST(caller.readAnswer().size() > body.size());
 }
 
-BOOST_AUTO_TEST_CASE(EachRequestHasItsOwnClockAndItsLineSaysWhereTheTimeWent)
+BOOST_AUTO_TEST_CASE(EachRequestIsTimedAloneAndItsLogLineSplitsTheTime)
 {
-    RoomyFixture setup(slowly({{"a0", 600ms}}));
+    RoomyFixture setup(delayedEcho({{"a0", 600ms}}));
     TestCaller   caller(setup.gateway->port());
-    caller.write(reads(0, 1));
+    caller.write(readRequests(0, 1));
     setup.waitForRequests(1);
     std::this_thread::sleep_for(200ms);
-    caller.write(reads(1, 2));
+    caller.write(readRequests(1, 2));
     BOOST_TEST(caller.readAnswer().ends_with("for a0"));
     BOOST_TEST(caller.readAnswer().ends_with("for a1"));
-    const std::string log = setup.logged();
+    const std::string log = setup.logText();
     BOOST_TEST(log.find("route=read-a.example") != std::string::npos);
     BOOST_TEST(loggedNumber(log, "a1", "ms") < 590);
     BOOST_TEST(loggedNumber(log, "a1", "decidedMs") >= 0);
@@ -162,55 +162,56 @@
     TestCaller ready(setup.gateway->readinessPort());
 }
 
-BOOST_AUTO_TEST_CASE(AnUnansweredCallersTimeCountsFromTheFirstByteAlsoWhenReadingWasHeldUp)
+BOOST_AUTO_TEST_CASE(TimeCountsFromTheFirstByteAlsoWhenReadingWasPaused)
 {
     // More than are served side by side: the last one's first byte has waited unread.
-    RoomyFixture setup(slowly({{"a0", 700ms}}));
+    RoomyFixture setup(delayedEcho({{"a0", 700ms}}));
     TestCaller   caller(setup.gateway->port());
-    const int    count = static_cast<int>(mostSideBySide) + 2;
-    caller.write(reads(0, count));
+    const int    count = static_cast<int>(maxPipelined) + 2;
+    caller.write(readRequests(0, count));
     for (int i = 0; i < count; ++i)
         BOOST_TEST(caller.readAnswer().ends_with("for a" + std::to_string(i)));
-    BOOST_TEST(loggedNumber(setup.logged(), "a" + std::to_string(count - 1), "ms") > 600);
+    BOOST_TEST(loggedNumber(setup.logText(), "a" + std::to_string(count - 1), "ms") > 600);
 }
 
 BOOST_AUTO_TEST_CASE(ACallerThatLeavesCancelsAllOfItsRequests)
 {
-    RoomyFixture setup(neverAnswers);
+    RoomyFixture setup(neverAnswer);
     TestCaller   caller(setup.gateway->port());
-    caller.write(reads(0, 3));
+    caller.write(readRequests(0, 3));
     setup.waitForRequests(3);
     caller.close();
     const auto left = std::chrono::steady_clock::now();
-    while (setup.server.hangUps() < 3 && std::chrono::steady_clock::now() - left < 3s)
+    while (setup.server.clientCloses() < 3 && std::chrono::steady_clock::now() - left < 3s)
         std::this_thread::sleep_for(1ms);
-    BOOST_TEST(setup.server.hangUps() == 3U);
+    BOOST_TEST(setup.server.clientCloses() == 3U);
     BOOST_TEST((std::chrono::steady_clock::now() - left < 500ms));
     setup.onLoop([&] { BOOST_TEST(setup.gateway->unfinished() == 0U); });
 }
 
-BOOST_AUTO_TEST_CASE(ACallerThatLeavesWithMoreSentThanIsReadCancelsThemToo)
+BOOST_AUTO_TEST_CASE(ACallerThatLeavesWhileReadingIsPausedCancelsItsRequests)
 {
-    RoomyFixture setup(neverAnswers);
+    RoomyFixture setup(neverAnswer);
     TestCaller   caller(setup.gateway->port());
-    caller.write(reads(0, 1));
+    caller.write(readRequests(0, 1));
     setup.waitForRequests(1);
     // What fills the gateway's own buffer is not read on, so the end is not seen by reading.
-    caller.write(reads(1, 1500));
+    caller.write(readRequests(1, 1500));
     std::this_thread::sleep_for(200ms);
     caller.close();
     const auto left = std::chrono::steady_clock::now();
-    while (setup.server.hangUps() < mostSideBySide && std::chrono::steady_clock::now() - left < 3s)
+    while (setup.server.clientCloses() < maxPipelined && std::chrono::steady_clock::now() - left < 3s)
         std::this_thread::sleep_for(1ms);
-    BOOST_TEST(setup.server.hangUps() == mostSideBySide);
+    BOOST_TEST(setup.server.clientCloses() == maxPipelined);
     BOOST_TEST((std::chrono::steady_clock::now() - left < 500ms));
 }
 
-BOOST_AUTO_TEST_CASE(WhatMayNotBeRepeatedWaitsForTheAnswersBeforeIt)
+BOOST_AUTO_TEST_CASE(ANonRepeatableRequestWaitsForTheAnswersBeforeIt)
 {
-    RoomyFixture setup(slowly({{"a0", 400ms}}));
+    RoomyFixture setup(delayedEcho({{"a0", 400ms}}));
     TestCaller   caller(setup.gateway->port());
-    caller.write(reads(0, 1) + Fixture::request("/pay/x", "p1", "Content-Length: 3\r\n", "POST") + "abc" + reads(2, 3));
+    caller.write(readRequests(0, 1) + Fixture::request("/pay/x", "p1", "Content-Length: 3\r\n", "POST") + "abc" +
+                 readRequests(2, 3));
     setup.waitForRequests(1);
     std::this_thread::sleep_for(150ms);
     BOOST_TEST(setup.server.requests().size() == 1U);
@@ -228,88 +229,88 @@
     BOOST_TEST(whole == 1);
 }
 
-BOOST_AUTO_TEST_CASE(APlannedStopEndsTheConnectionAfterWhatWasPassedOn)
+BOOST_AUTO_TEST_CASE(APlannedStopClosesTheConnectionAfterTheForwardedRequests)
 {
-    RoomyFixture setup(slowly({{"a0", 400ms}, {"a1", 200ms}}));
+    RoomyFixture setup(delayedEcho({{"a0", 400ms}, {"a1", 200ms}}));
     TestCaller   caller(setup.gateway->port());
-    caller.write(reads(0, 2));
+    caller.write(readRequests(0, 2));
     setup.waitForRequests(2);
     setup.onLoop([&] { setup.gateway->leave(); });
-    caller.write(reads(2, 3) + Fixture::request("/pay/x", "p3"));
+    caller.write(readRequests(2, 3) + Fixture::request("/pay/x", "p3"));
     const std::string first = caller.readAnswer();
     BOOST_TEST(first.ends_with("for a0"));
     BOOST_TEST(fieldOf(first, "Connection").empty());
     const std::string second = caller.readAnswer();
     BOOST_TEST(second.ends_with("for a1"));
     BOOST_TEST(fieldOf(second, "Connection") == "close");
-    BOOST_TEST(caller.ended());
-    BOOST_TEST(!setup.sent("a2"));
-    BOOST_TEST(!setup.sent("p3"));
+    BOOST_TEST(caller.closedByPeer());
+    BOOST_TEST(!setup.serverReceived("a2"));
+    BOOST_TEST(!setup.serverReceived("p3"));
 }
 
-BOOST_AUTO_TEST_CASE(NothingBehindARequestThatClosesTheConnectionIsPassedOn)
+BOOST_AUTO_TEST_CASE(NothingAfterARequestThatClosesTheConnectionIsForwarded)
 {
-    RoomyFixture setup(slowly({{"a0", 200ms}}));
+    RoomyFixture setup(delayedEcho({{"a0", 200ms}}));
     TestCaller   caller(setup.gateway->port());
-    caller.write(reads(0, 1) + Fixture::request("/read/x", "a1", "Connection: close\r\n") + reads(2, 4));
+    caller.write(readRequests(0, 1) + Fixture::request("/read/x", "a1", "Connection: close\r\n") + readRequests(2, 4));
     BOOST_TEST(caller.readAnswer().ends_with("for a0"));
     const std::string last = caller.readAnswer();
     BOOST_TEST(last.ends_with("for a1"));
     BOOST_TEST(fieldOf(last, "Connection") == "close");
-    BOOST_TEST(caller.ended());
+    BOOST_TEST(caller.closedByPeer());
     BOOST_TEST(setup.server.requests().size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(AMalformedRequestBehindGoodOnesIsRefusedInItsTurn)
+BOOST_AUTO_TEST_CASE(AMalformedRequestAfterGoodOnesIsRefusedInOrder)
 {
-    RoomyFixture setup(slowly({{"a0", 300ms}}));
+    RoomyFixture setup(delayedEcho({{"a0", 300ms}}));
     TestCaller   caller(setup.gateway->port());
-    caller.write(reads(0, 2) + "no request at all\r\n\r\n" + reads(2, 3));
+    caller.write(readRequests(0, 2) + "no request at all\r\n\r\n" + readRequests(2, 3));
     BOOST_TEST(caller.readAnswer().ends_with("for a0"));
     BOOST_TEST(caller.readAnswer().ends_with("for a1"));
     const std::string refusal = caller.readAnswer();
     BOOST_TEST(statusOf(refusal) == 400);
     BOOST_TEST(fieldOf(refusal, "Connection") == "close");
-    BOOST_TEST(caller.ended());
+    BOOST_TEST(caller.closedByPeer());
     BOOST_TEST(setup.server.requests().size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(TooLargeAHeadOrBodyBehindGoodOnesIsRefusedInItsTurn)
+BOOST_AUTO_TEST_CASE(ATooLargeHeadOrBodyAfterGoodOnesIsRefusedInOrder)
 {
     for (const bool head : {true, false})
     {
-        RoomyFixture setup(slowly({{"a0", 200ms}}));
+        RoomyFixture setup(delayedEcho({{"a0", 200ms}}));
         TestCaller   caller(setup.gateway->port());
-        caller.write(reads(0, 1) + (head
-                                        ? Fixture::request("/read/x", "b", "X-Long: " + std::string(3000, 'x') + "\r\n")
-                                        : Fixture::request("/pay/x", "b", "Content-Length: 60000\r\n", "POST")));
+        caller.write(readRequests(0, 1) +
+                     (head ? Fixture::request("/read/x", "b", "X-Long: " + std::string(3000, 'x') + "\r\n")
+                           : Fixture::request("/pay/x", "b", "Content-Length: 60000\r\n", "POST")));
         BOOST_TEST(caller.readAnswer().ends_with("for a0"));
         BOOST_TEST(statusOf(caller.readAnswer()) == (head ? 431 : 413));
-        BOOST_TEST(caller.ended());
+        BOOST_TEST(caller.closedByPeer());
     }
 }
 
-BOOST_AUTO_TEST_CASE(AHeadThatStopsBehindGoodOnesIsRefusedInItsTurn)
+BOOST_AUTO_TEST_CASE(AnIncompleteHeadAfterGoodOnesIsRefusedInOrder)
 {
     RoomyFixture setup;
     TestCaller   caller(setup.gateway->port());
-    caller.write(reads(0, 2) + "GET /read/x HTTP/1.1\r\nHost:");
+    caller.write(readRequests(0, 2) + "GET /read/x HTTP/1.1\r\nHost:");
     BOOST_TEST(caller.readAnswer().ends_with("for a0"));
     BOOST_TEST(caller.readAnswer().ends_with("for a1"));
     BOOST_TEST(statusOf(caller.readAnswer()) == 408);
 }
 
-BOOST_AUTO_TEST_CASE(OwnRefusalsKeepTheOrder)
+BOOST_AUTO_TEST_CASE(RefusalsOfTheGatewayKeepTheOrder)
 {
-    RoomyFixture setup(slowly({{"a0", 300ms}}));
+    RoomyFixture setup(delayedEcho({{"a0", 300ms}}));
     TestCaller   caller(setup.gateway->port());
-    caller.write(reads(0, 1) + Fixture::request("/none/x", "n") + reads(1, 2));
+    caller.write(readRequests(0, 1) + Fixture::request("/none/x", "n") + readRequests(1, 2));
     BOOST_TEST(caller.readAnswer().ends_with("for a0"));
     BOOST_TEST(statusOf(caller.readAnswer()) == 404);
     BOOST_TEST(caller.readAnswer().ends_with("for a1"));
 }
 
-BOOST_AUTO_TEST_CASE(AnAnswerThatIsCutAffectsItsOwnRequestAlone)
+BOOST_AUTO_TEST_CASE(ATruncatedAnswerAffectsOnlyItsOwnRequest)
 {
     RoomyFixture setup(
         [](const std::string& request)
@@ -321,25 +322,25 @@
             return script;
         });
     TestCaller caller(setup.gateway->port());
-    caller.write(reads(0, 3));
+    caller.write(readRequests(0, 3));
     BOOST_TEST(caller.readAnswer().ends_with("for a0"));
     BOOST_TEST(statusOf(caller.readAnswer()) == 502);
     BOOST_TEST(caller.readAnswer().ends_with("for a2"));
 }
 
-BOOST_AUTO_TEST_CASE(AThousandRequestsBehindAStuckOneHoldNoMoreThanTheBound)
+BOOST_AUTO_TEST_CASE(AThousandRequestsAfterASlowOneStayWithinTheBound)
 {
-    RoomyFixture setup(slowly({{"a0", 1200ms}}));
+    RoomyFixture setup(delayedEcho({{"a0", 1200ms}}));
     TestCaller   caller(setup.gateway->port());
-    caller.write(reads(0, 1000));
+    caller.write(readRequests(0, 1000));
     std::this_thread::sleep_for(500ms);
-    BOOST_TEST(setup.server.requests().size() <= mostSideBySide);
-    setup.onLoop([&] { BOOST_TEST(setup.gateway->unfinished() <= mostSideBySide); });
+    BOOST_TEST(setup.server.requests().size() <= maxPipelined);
+    setup.onLoop([&] { BOOST_TEST(setup.gateway->unfinished() <= maxPipelined); });
     for (int i = 0; i < 1000; ++i)
         BOOST_REQUIRE(caller.readAnswer().ends_with("for a" + std::to_string(i)));
 }
 
-BOOST_AUTO_TEST_CASE(AnswersThatWaitTakeBodyMemoryAndHoldReadingBack)
+BOOST_AUTO_TEST_CASE(WaitingAnswersUseBodyMemoryAndPauseReading)
 {
     // The fixture has 140 kB for bodies: a few answers of 30 kB that wait leave no room for further requests.
     const std::string large(30'000, 'x');
@@ -353,7 +354,7 @@
     TestCaller caller(setup.gateway->port());
     for (int i = 0; i < 12; ++i)
     {
-        caller.write(reads(i, i + 1));
+        caller.write(readRequests(i, i + 1));
         std::this_thread::sleep_for(30ms);
     }
     BOOST_TEST(setup.server.requests().size() < 8U);
@@ -367,9 +368,9 @@
 
 BOOST_AUTO_TEST_CASE(AHeadRequestsAnswerHasNoBodyBeforeTheNextOne)
 {
-    RoomyFixture setup(slowly({{"h0", 100ms}}));
+    RoomyFixture setup(delayedEcho({{"h0", 100ms}}));
     TestCaller   caller(setup.gateway->port());
-    caller.write(Fixture::request("/read/x", "h0", "", "HEAD") + reads(1, 2));
+    caller.write(Fixture::request("/read/x", "h0", "", "HEAD") + readRequests(1, 2));
     std::string both = caller.readAnswer();
     while (both.find("for a1") == std::string::npos && both.size() < 1000)
     {
@@ -382,11 +383,11 @@
     BOOST_TEST(both.find("for a1") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(ToContinueIsSaidOnlyWhenNoAnswerIsOwedBefore)
+BOOST_AUTO_TEST_CASE(ContinueIsSentOnlyAfterAllEarlierAnswers)
 {
-    RoomyFixture setup(slowly({{"a0", 300ms}}));
+    RoomyFixture setup(delayedEcho({{"a0", 300ms}}));
     TestCaller   caller(setup.gateway->port());
-    caller.write(reads(0, 1) +
+    caller.write(readRequests(0, 1) +
                  Fixture::request("/pay/x", "p1", "Expect: 100-continue\r\nContent-Length: 3\r\n", "POST"));
     BOOST_TEST(caller.readAnswer().ends_with("for a0"));
     BOOST_TEST(statusOf(caller.readAnswer()) == 100);
@@ -401,7 +402,7 @@
     std::string  all;
     int          count = 0;
     for (; all.size() < sixtyFourKilobytes; ++count)
-        all += reads(count, count + 1) + (count % 5 == 0 ? "\r\n" : "");
+        all += readRequests(count, count + 1) + (count % 5 == 0 ? "\r\n" : "");
     caller.write(all);
     for (int i = 0; i < count; ++i)
         BOOST_REQUIRE(caller.readAnswer().ends_with("for a" + std::to_string(i)));
--- a/test/gateway/crashes/RequestsThatEndServers.test.cpp
+++ b/test/gateway/crashes/RequestsThatEndServers.test.cpp
@@ -8,7 +8,7 @@
 //
 // In the nodes' logs 31 requests had lost their first server and 14 a further one.
 
-#include <support/EndingServer.hpp>
+#include <support/CrashingServer.hpp>
 #include <support/GatewayFixture.hpp>
 
 #include <boost/test/unit_test.hpp>
@@ -20,7 +20,7 @@
 {
 using namespace sailpath;
 using namespace std::chrono_literals;
-using support::EndingServer;
+using support::CrashingServer;
 using support::statusOf;
 using support::TestCaller;
 
@@ -37,7 +37,7 @@
         declared.instances.clear();
         for (std::size_t i = 0; i < 16; ++i)
         {
-            servers.push_back(std::make_unique<EndingServer>());
+            servers.push_back(std::make_unique<CrashingServer>());
             declared.instances.push_back(
                 {"i-" + std::to_string(i), "portal", "127.0.0.1", servers.back()->port(), "dc", 3, false, {}});
         }
@@ -47,7 +47,7 @@
     [[nodiscard]] std::size_t ended() const
     {
         return static_cast<std::size_t>(
-            std::count_if(servers.begin(), servers.end(), [](const auto& one) { return one->ended(); }));
+            std::count_if(servers.begin(), servers.end(), [](const auto& one) { return one->crashed(); }));
     }
 
     int ask(const std::string& path, const std::string& id, const std::string& method = "GET")
@@ -57,7 +57,7 @@
         return statusOf(caller.readAnswer());
     }
 
-    std::vector<std::unique_ptr<EndingServer>> servers;
+    std::vector<std::unique_ptr<CrashingServer>> servers;
 };
 
 } // namespace
--- a/test/support/EndingServer.cpp
+++ b/test/support/CrashingServer.cpp
@@ -1,4 +1,4 @@
-#include <support/EndingServer.hpp>
+#include <support/CrashingServer.hpp>
 #include <support/ScriptedServer.hpp>
 
 #include <asio/write.hpp>
@@ -11,24 +11,24 @@
 {
 namespace
 {
-constexpr auto runTime = std::chrono::milliseconds{5}; // Until a request shows what it does
+constexpr auto handlingTime = std::chrono::milliseconds{5}; // Until a request shows what it does
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-EndingServer::EndingServer() :
+CrashingServer::CrashingServer() :
 m_acceptor(m_context, asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)),
 m_port(m_acceptor.local_endpoint().port()),
 m_thread(
     [this]
     {
-        while (!m_ended)
+        while (!m_crashed)
         {
             auto             socket = std::make_shared<asio::ip::tcp::socket>(m_context);
             asio::error_code error;
             m_acceptor.accept(*socket, error);
             const std::lock_guard<std::mutex> lock(m_mutex);
-            if (error || m_ended)
+            if (error || m_crashed)
                 return;
             m_sockets.push_back(socket);
             m_threads.emplace_back([this, socket] { serve(*socket); });
@@ -38,19 +38,19 @@
 }
 
 ////////////////////////////////////////////////////////////
-EndingServer::~EndingServer()
+CrashingServer::~CrashingServer()
 {
-    end();
+    crash();
     m_thread.join();
     for (std::thread& thread : m_threads)
         thread.join();
 }
 
 ////////////////////////////////////////////////////////////
-void EndingServer::end()
+void CrashingServer::crash()
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    if (m_ended.exchange(true))
+    if (m_crashed.exchange(true))
         return;
     // A shutdown of the listening socket ends the wait for connections; from then on none is taken.
     ::shutdown(m_acceptor.native_handle(), SHUT_RDWR);
@@ -59,7 +59,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void EndingServer::serve(asio::ip::tcp::socket& socket)
+void CrashingServer::serve(asio::ip::tcp::socket& socket)
 {
     std::array<char, 4096> buffer{};
     std::string            unread;
@@ -82,18 +82,18 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool EndingServer::answer(asio::ip::tcp::socket& socket, const std::string& request)
+bool CrashingServer::answer(asio::ip::tcp::socket& socket, const std::string& request)
 {
     const std::string target = request.substr(0, request.find(" HTTP"));
     if (target.ends_with("/waits"))
     {
-        ++m_waiting;
+        ++m_unanswered;
         return true;
     }
-    std::this_thread::sleep_for(runTime);
+    std::this_thread::sleep_for(handlingTime);
     if (target.ends_with("/ends"))
     {
-        end();
+        crash();
         return false;
     }
     const std::string bytes =
@@ -104,21 +104,21 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::uint16_t EndingServer::port() const
+std::uint16_t CrashingServer::port() const
 {
     return m_port;
 }
 
 ////////////////////////////////////////////////////////////
-bool EndingServer::ended() const
+bool CrashingServer::crashed() const
 {
-    return m_ended;
+    return m_crashed;
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t EndingServer::waiting() const
+std::size_t CrashingServer::unanswered() const
 {
-    return m_waiting;
+    return m_unanswered;
 }
 
 } // namespace sailpath::support
--- a/test/support/EndingServer.hpp
+++ b/test/support/CrashingServer.hpp
@@ -19,33 +19,33 @@
 /// Requests whose target ends with `/waits` are not answered before it
 /// ends; all others are answered at once. A thread a connection.
 ////////////////////////////////////////////////////////////
-class EndingServer
+class CrashingServer
 {
 public:
-    EndingServer();
-    ~EndingServer();
-    EndingServer(const EndingServer&) = delete;
-    EndingServer& operator=(const EndingServer&) = delete;
+    CrashingServer();
+    ~CrashingServer();
+    CrashingServer(const CrashingServer&) = delete;
+    CrashingServer& operator=(const CrashingServer&) = delete;
 
-    void end(); //!< As a crash does: nothing listens any more, and what is open is reset
+    void crash(); //!< As a crash does: nothing listens any more, and what is open is reset
 
-    [[nodiscard]] std::uint16_t port() const;    //!< On 127.0.0.1
-    [[nodiscard]] bool          ended() const;   //!< It has ended
-    [[nodiscard]] std::size_t   waiting() const; //!< Requests that are not answered
+    [[nodiscard]] std::uint16_t port() const;       //!< On 127.0.0.1
+    [[nodiscard]] bool          crashed() const;    //!< It has ended
+    [[nodiscard]] std::size_t   unanswered() const; //!< Requests that are not answered
 
 private:
     void               serve(asio::ip::tcp::socket& socket);
     [[nodiscard]] bool answer(asio::ip::tcp::socket& socket, const std::string& request);
 
-    asio::io_context                                    m_context;      //!< For the sockets
-    asio::ip::tcp::acceptor                             m_acceptor;     //!< Listens
-    std::uint16_t                                       m_port;         //!< Where
-    std::atomic<bool>                                   m_ended{false}; //!< Nothing is taken any more
-    std::atomic<std::size_t>                            m_waiting{0};   //!< Count
-    std::mutex                                          m_mutex;        //!< Guards what follows
-    std::vector<std::shared_ptr<asio::ip::tcp::socket>> m_sockets;      //!< Of the connections
-    std::vector<std::thread>                            m_threads;      //!< Of the connections
-    std::thread                                         m_thread;       //!< Accepts
+    asio::io_context                                    m_context;        //!< For the sockets
+    asio::ip::tcp::acceptor                             m_acceptor;       //!< Listens
+    std::uint16_t                                       m_port;           //!< Where
+    std::atomic<bool>                                   m_crashed{false}; //!< Nothing is taken any more
+    std::atomic<std::size_t>                            m_unanswered{0};  //!< Count
+    std::mutex                                          m_mutex;          //!< Guards what follows
+    std::vector<std::shared_ptr<asio::ip::tcp::socket>> m_sockets;        //!< Of the connections
+    std::vector<std::thread>                            m_threads;        //!< Of the connections
+    std::thread                                         m_thread;         //!< Accepts
 };
 
 } // namespace sailpath::support
--- a/test/support/ScriptedServer.cpp
+++ b/test/support/ScriptedServer.cpp
@@ -12,10 +12,10 @@
 {
 namespace
 {
-constexpr int patienceMs = 5000;
+constexpr int readTimeoutMs = 5000;
 
 ////////////////////////////////////////////////////////////
-std::size_t lengthOf(const std::string& message)
+std::size_t contentLength(const std::string& message)
 {
     const std::string length = fieldOf(message, "Content-Length");
     return length.empty() ? 0 : std::stoul(length);
@@ -28,9 +28,9 @@
 {
     std::string lower = message;
     std::string wanted = "\r\n" + name + ": ";
-    const auto  lowered = [](unsigned char letter) { return static_cast<char>(std::tolower(letter)); };
-    std::transform(lower.begin(), lower.end(), lower.begin(), lowered);
-    std::transform(wanted.begin(), wanted.end(), wanted.begin(), lowered);
+    const auto  toLower = [](unsigned char letter) { return static_cast<char>(std::tolower(letter)); };
+    std::transform(lower.begin(), lower.end(), lower.begin(), toLower);
+    std::transform(wanted.begin(), wanted.end(), wanted.begin(), toLower);
     const auto at = lower.find(wanted);
     if (at == std::string::npos)
         return {};
@@ -45,12 +45,12 @@
 m_thread(
     [this]
     {
-        while (!m_ending)
+        while (!m_stopping)
         {
             auto             socket = std::make_shared<asio::ip::tcp::socket>(m_context);
             asio::error_code error;
             m_acceptor.accept(*socket, error);
-            if (error || m_ending)
+            if (error || m_stopping)
                 return;
             const std::lock_guard<std::mutex> lock(m_mutex);
             m_sockets.push_back(socket);
@@ -63,7 +63,7 @@
 ////////////////////////////////////////////////////////////
 ScriptedServer::~ScriptedServer()
 {
-    m_ending = true;
+    m_stopping = true;
     ::shutdown(m_acceptor.native_handle(), SHUT_RDWR);
     m_thread.join();
     for (const auto& socket : m_sockets)
@@ -79,9 +79,9 @@
     while (true)
     {
         const auto end = unread.find("\r\n\r\n");
-        if (end != std::string::npos && unread.size() >= end + 4 + lengthOf(unread.substr(0, end + 2)))
+        if (end != std::string::npos && unread.size() >= end + 4 + contentLength(unread.substr(0, end + 2)))
         {
-            const auto size = end + 4 + lengthOf(unread.substr(0, end + 2));
+            const auto size = end + 4 + contentLength(unread.substr(0, end + 2));
             request = unread.substr(0, size);
             unread.erase(0, size);
             return true;
@@ -112,7 +112,7 @@
         {
             std::array<char, 16> buffer{};
             (void)socket.read_some(asio::buffer(buffer), error);
-            m_hangUps += m_ending ? 0 : 1;
+            m_clientCloses += m_stopping ? 0 : 1;
             return;
         }
         asio::write(socket, asio::buffer(script.bytes), error);
@@ -141,9 +141,9 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t ScriptedServer::hangUps() const
+std::size_t ScriptedServer::clientCloses() const
 {
-    return m_hangUps;
+    return m_clientCloses;
 }
 
 ////////////////////////////////////////////////////////////
@@ -163,8 +163,8 @@
 ////////////////////////////////////////////////////////////
 bool TestCaller::waitReadable()
 {
-    pollfd waited{m_socket.native_handle(), POLLIN, 0};
-    return ::poll(&waited, 1, patienceMs) > 0;
+    pollfd polled{m_socket.native_handle(), POLLIN, 0};
+    return ::poll(&polled, 1, readTimeoutMs) > 0;
 }
 
 ////////////////////////////////////////////////////////////
@@ -174,9 +174,9 @@
     while (true)
     {
         const auto end = m_unread.find("\r\n\r\n");
-        if (end != std::string::npos && m_unread.size() >= end + 4 + lengthOf(m_unread.substr(0, end + 2)))
+        if (end != std::string::npos && m_unread.size() >= end + 4 + contentLength(m_unread.substr(0, end + 2)))
         {
-            const auto  size = end + 4 + lengthOf(m_unread.substr(0, end + 2));
+            const auto  size = end + 4 + contentLength(m_unread.substr(0, end + 2));
             std::string answer = m_unread.substr(0, size);
             m_unread.erase(0, size);
             return answer;
@@ -190,7 +190,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool TestCaller::ended()
+bool TestCaller::closedByPeer()
 {
     std::array<char, 4096> buffer{};
     while (waitReadable())
--- a/test/support/ScriptedServer.hpp
+++ b/test/support/ScriptedServer.hpp
@@ -38,24 +38,24 @@
     ScriptedServer(const ScriptedServer&) = delete;
     ScriptedServer& operator=(const ScriptedServer&) = delete;
 
-    [[nodiscard]] std::uint16_t            port() const;     //!< On 127.0.0.1
-    [[nodiscard]] std::vector<std::string> requests() const; //!< As they came, in order
-    [[nodiscard]] std::size_t              hangUps() const;  //!< Connections that the other side ended while silent
+    [[nodiscard]] std::uint16_t            port() const;         //!< On 127.0.0.1
+    [[nodiscard]] std::vector<std::string> requests() const;     //!< As they came, in order
+    [[nodiscard]] std::size_t              clientCloses() const; //!< Connections that the other side ended while silent
 
 private:
     void serve(asio::ip::tcp::socket& socket);
     bool readRequest(asio::ip::tcp::socket& socket, std::string& unread, std::string& request);
 
-    Answer                                              m_answer;        //!< Script
-    asio::io_context                                    m_context;       //!< For the sockets
-    asio::ip::tcp::acceptor                             m_acceptor;      //!< Listens
-    std::atomic<bool>                                   m_ending{false}; //!< The server ends
-    std::atomic<std::size_t>                            m_hangUps{0};    //!< Count
-    mutable std::mutex                                  m_mutex;         //!< Guards what follows
-    std::vector<std::string>                            m_requests;      //!< As they came
-    std::vector<std::shared_ptr<asio::ip::tcp::socket>> m_sockets;       //!< Of the connections
-    std::vector<std::thread>                            m_threads;       //!< Of the connections
-    std::thread                                         m_thread;        //!< Accepts
+    Answer                                              m_answer;          //!< Script
+    asio::io_context                                    m_context;         //!< For the sockets
+    asio::ip::tcp::acceptor                             m_acceptor;        //!< Listens
+    std::atomic<bool>                                   m_stopping{false}; //!< The server ends
+    std::atomic<std::size_t>                            m_clientCloses{0}; //!< Count
+    mutable std::mutex                                  m_mutex;           //!< Guards what follows
+    std::vector<std::string>                            m_requests;        //!< As they came
+    std::vector<std::shared_ptr<asio::ip::tcp::socket>> m_sockets;         //!< Of the connections
+    std::vector<std::thread>                            m_threads;         //!< Of the connections
+    std::thread                                         m_thread;          //!< Accepts
 };
 
 ////////////////////////////////////////////////////////////
@@ -72,8 +72,8 @@
     explicit TestCaller(std::uint16_t port);
 
     void                      write(const std::string& bytes);
-    [[nodiscard]] std::string readAnswer(); //!< One whole answer with a length; what came if the connection ended
-    [[nodiscard]] bool        ended();      //!< Waits until the other side closes; false after five seconds
+    [[nodiscard]] std::string readAnswer();   //!< One whole answer with a length; what came if the connection ended
+    [[nodiscard]] bool        closedByPeer(); //!< Waits until the other side closes; false after five seconds
     void                      close();
 
 private:
