--- a/src/sailpath/gateway/AnswerHead.cpp
+++ b/src/sailpath/gateway/AnswerHead.cpp
@@ -28,11 +28,11 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief Seconds in a `Retry-After` field, an hour at the most; 0 when it is no number of 0 or more
+/// \brief Parse the seconds of a `Retry-After` field, capped at one hour; 0 when the value is no number of 0 or more
 ////////////////////////////////////////////////////////////
 core::Duration parseRetryAfter(std::string_view text)
 {
-    constexpr double maxSeconds = 3600; // A mistaken value ends by itself
+    constexpr double maxSeconds = 3600; // So that a mistaken value expires
     double           value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     const bool whole = error == std::errc{} && end == text.data() + text.size();
@@ -42,7 +42,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief A number of milliseconds, of a day at the most; null when there is none
+/// \brief Parse a number of milliseconds, capped at one day; null when the value is no number of 0 or more
 ////////////////////////////////////////////////////////////
 std::optional<core::Duration> parseMilliseconds(std::string_view text)
 {
@@ -55,7 +55,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief The time in a `Keep-Alive` field, `timeout=N`
+/// \brief Parse the seconds of `timeout=N` in a `Keep-Alive` field; 0 when they are missing or above 3600
 ////////////////////////////////////////////////////////////
 core::Duration parseTimeout(std::string_view field)
 {
@@ -65,11 +65,11 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief What an answer says of the requests a second that its server takes
+/// \brief Return the lowest limit, in requests a second, that an answer names for its server
 ///
-/// \param whenSilent What it means that there is none
+/// \param limitIfAbsent Result when the answer has no field for a limit
 ///
-/// \return Of several values the lowest; null when none can be read, so nothing is concluded
+/// \return Null when there are such fields but no value can be parsed, so that nothing is concluded
 ////////////////////////////////////////////////////////////
 std::optional<double> lowestLimit(const http::Head& head, const Dialect& dialect, std::optional<double> limitIfAbsent)
 {
@@ -89,10 +89,10 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief Whether an answer speaks for the instance that was asked
+/// \brief Test whether an answer comes from the instance that the request was sent to
 ///
-/// One that says the request is for somebody else speaks of another instance; one to a request that does not repeat
-/// its id may be anybody's.
+/// A 421 comes from another instance at the same address. An answer to a request (not to a probe) that does not repeat
+/// the request id may come from anywhere, such as a proxy.
 ////////////////////////////////////////////////////////////
 bool comesFromInstance(const http::Head& head, bool probe, std::string_view instance, const Dialect& dialect)
 {
@@ -103,9 +103,9 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief How long an answer asks for no further requests: of several values the longest
+/// \brief Return how long a server asks for no further requests; the longest of several values
 ///
-/// Only with a 503: a 429 speaks to the caller whose request it was.
+/// Only a 503 counts: a 429 concerns just the caller whose request was rejected.
 ////////////////////////////////////////////////////////////
 core::Duration longestBackOff(const http::Head& head)
 {
@@ -125,15 +125,15 @@
 {
     balance::Outcome outcome;
     outcome.status = head.status;
-    // Who answers that the request is for somebody else speaks of itself; what has no id may be anybody's.
+    // A 421 reports the load of another instance, and an answer without a request id may come from anywhere.
     const bool fromInstance = head.status != statusMisdirected && head.has(dialect.requestId);
     const bool success = head.status >= 200 && head.status < 300;
     if (dialect.parseLoad && fromInstance)
         outcome.load = dialect.parseLoad(head.field(dialect.load));
-    // Only a whole answer that names no limit ends one: what turns a request away may say less.
+    // Only a success that names no limit lifts an earlier limit: a rejection may omit the field.
     if (dialect.parseLimit && fromInstance)
         outcome.limit = lowestLimit(head, dialect, success ? std::optional(balance::unlimited) : std::nullopt);
-    // What a 503 asks for is asked of this node; other servers may take the caller's request before.
+    // Retry-After of a 503 is meant for this node; other servers may accept the caller's request sooner.
     if (head.status != statusUnavailable)
         outcome.comeBack = parseRetryAfter(head.field("Retry-After"));
     if (success)
@@ -148,10 +148,11 @@
         outcome.misdirected = head.status == statusMisdirected;
         return outcome;
     }
-    // These say that the request did not run; without the mark that is not to be passed on.
+    // These statuses tell the caller that the request did not run. Without the not-executed field that is uncertain, so
+    // the answer is not passed on.
     const bool impliesNotRun =
         head.status == statusUnavailable || head.status == statusTooMany || head.status == statusTimeout;
-    // What turns a request away for good has to be the server's; a caller does not come back after it.
+    // A caller does not retry after a final rejection, so it has to carry the server's signature.
     const bool unsignedRejection = head.status < statusServerFailed && !head.has(dialect.signature);
     outcome.end = impliesNotRun || unsignedRejection ? balance::AttemptEnd::Lost : balance::AttemptEnd::Answered;
     return outcome;
@@ -163,17 +164,17 @@
     balance::Outcome outcome;
     outcome.status = head.status;
     outcome.end = balance::AttemptEnd::Answered;
-    // Another instance has the address now; what it says is not this one's load.
+    // Another instance has taken over the address; its load is not that of the probed instance.
     const std::string_view answeringInstance = head.field(dialect.instanceId);
     if (!answeringInstance.empty() && answeringInstance != instance)
     {
         outcome.end = balance::AttemptEnd::Lost;
         return outcome;
     }
-    // A health answer that names no limit ends none: it is requests that are limited.
+    // Limits apply to requests, so a health answer without a limit does not lift an earlier one.
     if (dialect.parseLimit)
         outcome.limit = lowestLimit(head, dialect, std::nullopt);
-    // A healthy instance that says nothing of it is not cold.
+    // A healthy instance that does not report a warm-up time has warmed up.
     const bool healthyWithoutWarmUp = !head.has(dialect.warmUpMs) && head.status == statusOk;
     outcome.warmUp = healthyWithoutWarmUp ? core::Duration{} : parseMilliseconds(head.field(dialect.warmUpMs));
     if (dialect.parseLoad)
--- a/src/sailpath/gateway/AnswerHead.hpp
+++ b/src/sailpath/gateway/AnswerHead.hpp
@@ -10,28 +10,30 @@
 namespace sailpath::gateway::priv
 {
 ////////////////////////////////////////////////////////////
-/// \brief What became of a request, as the head of the whole answer tells
+/// \brief Derive the outcome of a request from the head of its complete answer
 ////////////////////////////////////////////////////////////
 [[nodiscard]] balance::Outcome classifyAnswer(const http::Head& head, const Dialect& dialect);
 
 ////////////////////////////////////////////////////////////
-/// \brief What the head of a health answer tells
+/// \brief Derive the outcome of a probe from the head of a server's health answer
 ///
-/// \param instance Id of the instance that was asked
+/// \param instance Id of the instance that the probe was sent to
 ////////////////////////////////////////////////////////////
 [[nodiscard]] balance::Outcome classifyProbe(const http::Head& head, std::string_view instance, const Dialect& dialect);
 
 ////////////////////////////////////////////////////////////
-/// \brief What an answer says of the requests that its server wants; empty when another instance speaks
+/// \brief Read from an answer whether its server leaves or backs off
 ///
-/// \param probe    It is a health answer, which repeats no id of a request
-/// \param instance Id of the instance that was asked
+/// \param probe    True for a health answer, which carries no request id
+/// \param instance Id of the instance that the request was sent to
+///
+/// \return An empty notice when another instance answered
 ////////////////////////////////////////////////////////////
 [[nodiscard]] balance::ServerNotice parseNotice(const http::Head& head, bool probe, std::string_view instance,
                                                 const Dialect& dialect);
 
 ////////////////////////////////////////////////////////////
-/// \brief How long its server keeps the connection at rest; 0 when it does not say
+/// \brief Read the time that the server keeps an idle connection open from `Keep-Alive`; 0 when it is not given
 ////////////////////////////////////////////////////////////
 [[nodiscard]] core::Duration parseKeepAlive(const http::Head& head);
 
--- a/src/sailpath/gateway/AnswerQueue.hpp
+++ b/src/sailpath/gateway/AnswerQueue.hpp
@@ -14,42 +14,41 @@
 namespace sailpath::gateway::priv
 {
 ////////////////////////////////////////////////////////////
-/// \brief A request of a connection that has no answer written yet
+/// \brief A request of a caller's connection whose answer has not been written yet
 ////////////////////////////////////////////////////////////
 struct PendingAnswer
 {
-    balance::Ticket             ticket{0};       //!< Of the request; 0 for one that was refused unread
-    bool                        keepAlive{true}; //!< The caller wants the connection kept after it
-    bool                        headOnly{false}; //!< It asks for the head only
-    BodyReservation             reservation;     //!< Of its body, and of its answer while that waits
-    std::optional<CallerAnswer> answer;          //!< Once it is known
-    core::Timestamp             answeredAt{};    //!< When it was
+    balance::Ticket             ticket{0};       //!< Of the request; 0 if refused before it was read whole
+    bool                        keepAlive{true}; //!< The caller asked to keep the connection open
+    bool                        headOnly{false}; //!< A `HEAD` request, whose answer has no body
+    BodyReservation             reservation;     //!< Memory of the request body, and of the answer while it waits
+    std::optional<CallerAnswer> answer;          //!< Null until the answer is known
+    core::Timestamp             answeredAt{};    //!< When the answer became known
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Answers of one connection, given in the order of the requests
+/// \brief Queue of one connection's answers, which are written in the order of the requests
 ////////////////////////////////////////////////////////////
 class AnswerQueue
 {
 public:
-    void append(PendingAnswer pending); //!< A request was read after all others
+    void append(PendingAnswer pending); //!< Add the request that was read last
 
-    [[nodiscard]] PendingAnswer*
-    findUnanswered(balance::Ticket ticket); //!< A turn without an answer; null when there is none
+    [[nodiscard]] PendingAnswer* findUnanswered(balance::Ticket ticket); //!< Null when there is none
 
     ////////////////////////////////////////////////////////////
-    /// \brief Give a turn its answer; one that has to wait for others counts as memory held
+    /// \brief Store the answer of a request; an answer that waits for earlier ones is counted as body memory
     ////////////////////////////////////////////////////////////
     void setAnswer(PendingAnswer& pending, CallerAnswer answer, core::Timestamp now);
 
-    [[nodiscard]] std::optional<PendingAnswer> popReady(); //!< The first turn, once it has its answer
+    [[nodiscard]] std::optional<PendingAnswer> popReady(); //!< Remove and return the oldest request if it is answered
 
-    [[nodiscard]] bool                         empty() const;   //!< No turn is left
-    [[nodiscard]] std::size_t                  size() const;    //!< Turns
-    [[nodiscard]] std::vector<balance::Ticket> tickets() const; //!< Of all turns that have one, in order
+    [[nodiscard]] bool                         empty() const;
+    [[nodiscard]] std::size_t                  size() const;
+    [[nodiscard]] std::vector<balance::Ticket> tickets() const; //!< Tickets other than 0, in the order of the requests
 
 private:
-    std::deque<PendingAnswer> m_pending; //!< In the order of the requests
+    std::deque<PendingAnswer> m_pending; //!< Oldest request first
 };
 
 } // namespace sailpath::gateway::priv
--- a/src/sailpath/gateway/BodyMemory.cpp
+++ b/src/sailpath/gateway/BodyMemory.cpp
@@ -4,7 +4,7 @@
 {
 namespace
 {
-constexpr std::int64_t sharedParts = 3; // Of four, for anybody
+constexpr std::int64_t sharedParts = 3; // Of four; usable by any workspace
 constexpr std::int64_t totalParts = 4;
 
 } // namespace
@@ -22,7 +22,7 @@
     const std::int64_t held = found == m_usedBy.end() ? 0 : found->second;
     const auto         holders = static_cast<std::int64_t>(m_usedBy.size()) + (found == m_usedBy.end() ? 1 : 0);
     const bool         withinSharedPart = m_used + bytes <= sharedBytes();
-    // One share more than there are holders: the next workspace finds room too.
+    // The equal share leaves room for one more workspace than uses memory now.
     const bool         withinFairShare = held + bytes <= m_total / (holders + 1);
     if (m_used + bytes > m_total || (!withinSharedPart && !withinFairShare))
         return false;
--- a/src/sailpath/gateway/BodyMemory.hpp
+++ b/src/sailpath/gateway/BodyMemory.hpp
@@ -7,30 +7,30 @@
 namespace sailpath::gateway::priv
 {
 ////////////////////////////////////////////////////////////
-/// \brief Memory for request bodies and for answers that wait for their turn, shared between workspaces
+/// \brief Limit on the memory of request bodies and of answers that wait for earlier ones, shared between workspaces
 ///
-/// Anybody may use most of it. The rest is for workspaces that hold less
-/// than an equal share, so that the bodies of one never keep out those of
-/// another.
+/// Any workspace may use three quarters of the memory. The last quarter is
+/// for workspaces that use less than an equal share, so that the bodies of
+/// one workspace never exclude those of another.
 ////////////////////////////////////////////////////////////
 class BodyMemory
 {
 public:
-    explicit BodyMemory(std::int64_t total); //!< Bytes for all together
+    explicit BodyMemory(std::int64_t total); //!< In bytes, for all workspaces
 
-    [[nodiscard]] bool reserve(const std::string& workspace, std::int64_t bytes); //!< False when there is none for it
-    void               forceReserve(const std::string& workspace, std::int64_t bytes); //!< What is held already
-    void               release(const std::string& workspace, std::int64_t bytes);      //!< What was taken or counted
+    [[nodiscard]] bool reserve(const std::string& workspace, std::int64_t bytes); //!< False when memory is short
+    void forceReserve(const std::string& workspace, std::int64_t bytes);          //!< Reserve even beyond the limit
+    void release(const std::string& workspace, std::int64_t bytes);               //!< Return reserved bytes
 
-    [[nodiscard]] std::int64_t used() const;               //!< Bytes taken
-    [[nodiscard]] bool         isSharedPartUsedUp() const; //!< What anybody may use is used up
+    [[nodiscard]] std::int64_t used() const;               //!< Bytes reserved
+    [[nodiscard]] bool         isSharedPartUsedUp() const; //!< Only the last quarter is left
 
 private:
-    [[nodiscard]] std::int64_t sharedBytes() const; //!< That anybody may use
+    [[nodiscard]] std::int64_t sharedBytes() const; //!< Bytes that any workspace may use
 
-    std::int64_t                        m_total;   //!< Bytes for all together
-    std::int64_t                        m_used{0}; //!< Bytes taken
-    std::map<std::string, std::int64_t> m_usedBy;  //!< Of these, by workspace
+    std::int64_t                        m_total;   //!< Bytes for all workspaces
+    std::int64_t                        m_used{0}; //!< Bytes reserved
+    std::map<std::string, std::int64_t> m_usedBy;  //!< Bytes reserved, by workspace
 };
 
 } // namespace sailpath::gateway::priv
--- a/src/sailpath/gateway/BodyReservation.hpp
+++ b/src/sailpath/gateway/BodyReservation.hpp
@@ -9,29 +9,29 @@
 class BodyMemory;
 
 ////////////////////////////////////////////////////////////
-/// \brief Memory of one request, its body and its answer; given back at the end
+/// \brief Body memory reserved for one request, for its body and its waiting answer; released on destruction
 ////////////////////////////////////////////////////////////
 class BodyReservation
 {
 public:
-    BodyReservation() = default;                                                //!< Of no memory
-    BodyReservation(std::shared_ptr<BodyMemory> memory, std::string workspace); //!< Of nothing yet
+    BodyReservation() = default;                                                //!< Reserves nothing and cannot grow
+    BodyReservation(std::shared_ptr<BodyMemory> memory, std::string workspace); //!< Begins with 0 bytes
     ~BodyReservation();
     BodyReservation(BodyReservation&& other) noexcept;
     BodyReservation& operator=(BodyReservation&& other) noexcept;
     BodyReservation(const BodyReservation&) = delete;
     BodyReservation& operator=(const BodyReservation&) = delete;
 
-    [[nodiscard]] bool growTo(std::int64_t bytes);      //!< Reserve so many in all; false when there are none for it
-    void               forceGrowBy(std::int64_t bytes); //!< Count what is held already, beyond what is free if need be
-    [[nodiscard]] bool canReserve() const;              //!< It can claim memory
+    [[nodiscard]] bool growTo(std::int64_t bytes);      //!< Reserve up to this total; false when memory is short
+    void               forceGrowBy(std::int64_t bytes); //!< Count bytes that are in use already, even beyond the limit
+    [[nodiscard]] bool canReserve() const;              //!< False for a default-constructed reservation
 
 private:
     void release();
 
-    std::shared_ptr<BodyMemory> m_memory;    //!< Null when nothing can be claimed
-    std::string                 m_workspace; //!< Whose memory it is
-    std::int64_t                m_bytes{0};  //!< Claimed
+    std::shared_ptr<BodyMemory> m_memory;    //!< Null when nothing can be reserved
+    std::string                 m_workspace; //!< Workspace that the bytes are counted for
+    std::int64_t                m_bytes{0};  //!< Bytes reserved
 };
 
 } // namespace sailpath::gateway::priv
--- a/src/sailpath/gateway/CallerAnswer.hpp
+++ b/src/sailpath/gateway/CallerAnswer.hpp
@@ -9,38 +9,38 @@
 namespace sailpath::gateway::priv
 {
 ////////////////////////////////////////////////////////////
-/// \brief An answer in the node's own name
+/// \brief An answer that the gateway itself gives, instead of a server
 ////////////////////////////////////////////////////////////
 struct LocalAnswer
 {
-    unsigned         status{503};  //!< Status
-    std::string_view reason;       //!< Why, for the body
-    core::Duration   retryAfter{}; //!< `Retry-After`; 0 for none
+    unsigned         status{503};  //!< HTTP status
+    std::string_view reason;       //!< Text of the body
+    core::Duration   retryAfter{}; //!< `Retry-After` field; 0 for none
 };
 
 ////////////////////////////////////////////////////////////
 /// \brief An answer as it is written to a caller
 ///
-/// The head lacks its end: whether the connection closes with the answer
-/// is known only when its turn comes.
+/// The head is incomplete until `finishHead`: whether the connection closes
+/// after the answer is known only when the answer is about to be written.
 ////////////////////////////////////////////////////////////
 struct CallerAnswer
 {
-    std::string head; //!< Status and fields
-    std::string body; //!< Empty when none is written
+    std::string head; //!< Status line and header fields
+    std::string body; //!< Empty when the answer has no body
 
-    void finishHead(bool close); //!< Its turn has come
+    void finishHead(bool close); //!< Add `Connection: close` if asked for, and the empty line
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Pass a server's answer on
+/// \brief Make the caller's answer from a server's answer
 ///
-/// \param headOnly The request asked for the head only
+/// \param headOnly True for a `HEAD` request, whose answer has no body
 ////////////////////////////////////////////////////////////
 [[nodiscard]] CallerAnswer makeAnswer(const http::Head& head, std::string body, bool headOnly);
 
 ////////////////////////////////////////////////////////////
-/// \brief Answer in the node's own name
+/// \brief Make the caller's answer from one of the gateway itself
 ////////////////////////////////////////////////////////////
 [[nodiscard]] CallerAnswer makeAnswer(const LocalAnswer& local, bool headOnly);
 
--- a/src/sailpath/gateway/CallerConnection.cpp
+++ b/src/sailpath/gateway/CallerConnection.cpp
@@ -14,11 +14,11 @@
 namespace
 {
 constexpr auto        refusalRetryAfter = std::chrono::seconds{1};
-constexpr auto        lingerTimeout = std::chrono::seconds{1};            // For a caller to close after the last answer
-constexpr auto        closePollInterval = std::chrono::milliseconds{200}; // Between looks for a caller's end, see below
-constexpr std::size_t maxReadAhead = 64UL * 1024;                         // Bytes kept of requests not taken yet
-constexpr std::size_t maxPipelined = 16; // Requests of one connection at servers at once; a few round trips' worth,
-                                         // and little beside what a node serves, so that one caller cannot take all
+constexpr auto        lingerTimeout = std::chrono::seconds{1};            // Without input after the last answer
+constexpr auto        closePollInterval = std::chrono::milliseconds{200}; // Between checks by pollForClose
+constexpr std::size_t maxReadAhead = 64UL * 1024;                         // Unparsed bytes above which reading pauses
+constexpr std::size_t maxPipelined = 16; // Unanswered requests of one connection: enough to cover a few round trips,
+                                         // and few enough that one caller cannot use up the capacity of a node
 
 } // namespace
 
@@ -79,7 +79,7 @@
 ////////////////////////////////////////////////////////////
 void CallerConnection::pollForClose()
 {
-    // While reading is held up the end of the connection does not show by a read, but in the socket's state.
+    // While reading is paused, no read reports that the caller has closed, so the socket's state is polled.
     if (m_pollingForClose)
         return;
     m_pollingForClose = true;
@@ -170,7 +170,7 @@
 void CallerConnection::writeContinue()
 {
     m_continuePending = false;
-    // No answer is owed before it and none follows until the body has come, so the bytes cannot mix.
+    // No earlier answer is pending and none is written before the body is read, so the bytes of two writes cannot mix.
     asio::error_code ignored;
     asio::write(m_socket, asio::buffer(std::string_view("HTTP/1.1 100 Continue\r\n\r\n")), ignored);
 }
@@ -254,10 +254,10 @@
     m_writing = m_pendingAnswers.popReady();
     if (!m_writing)
         return;
-    // From here on the caller has to take bytes. Counted from its own last ones, an answer that took longer than it may be
-    // idle was cut as soon as a sweep met its writing: 15 of 160 whose answer came at that time, none of 320 since.
+    // The idle time of a write counts from its start. Counted from the caller's last bytes, the timeout check cut answers
+    // that took longer than the idle time while they were written: 15 of 160 such answers, against none of 320 since.
     m_lastActivity = core::now();
-    // A planned stop ends the connection after the last of what was handed on.
+    // A planned stop closes the connection after the last forwarded request is answered.
     m_closeAfterWrite = !m_writing->keepAlive || (m_events.closesConnections() && m_pendingAnswers.empty());
     if (m_closeAfterWrite)
     {
@@ -286,7 +286,7 @@
         return close();
     if (m_closeAfterWrite)
     {
-        // What the caller still sends is read and dropped, or the answer could be lost with a reset.
+        // Further input is read and discarded: closing with unread input sends a reset, which can destroy the answer.
         m_state = State::Lingering;
         asio::error_code ignored;
         m_socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
--- a/src/sailpath/gateway/CallerConnection.hpp
+++ b/src/sailpath/gateway/CallerConnection.hpp
@@ -18,12 +18,13 @@
 namespace sailpath::gateway::priv
 {
 ////////////////////////////////////////////////////////////
-/// \brief A caller's connection
+/// \brief A caller's HTTP connection, with pipelining
 ///
-/// Requests that may be repeated are handed on side by side; their answers
-/// are given in the order of the requests. What may not be repeated waits
-/// until all answers before it are written, as one of them may end the
-/// connection. Once an answer is to end it, nothing behind is handed on.
+/// Repeatable requests are forwarded concurrently; their answers are
+/// written in the order of the requests. A request that may not be repeated
+/// waits until all earlier answers are written, as one of them may close the
+/// connection. No request after an answer that closes the connection is
+/// forwarded.
 ////////////////////////////////////////////////////////////
 class CallerConnection : public std::enable_shared_from_this<CallerConnection>
 {
@@ -31,29 +32,29 @@
     CallerConnection(asio::ip::tcp::socket socket, std::string address, CallerEvents& events,
                      std::shared_ptr<BodyMemory> bodyMemory);
 
-    void start(); //!< Begin to read
+    void start(); //!< Begin to read requests
 
     ////////////////////////////////////////////////////////////
-    /// \brief Pass a server's answer on when its turn comes
+    /// \brief Queue a server's answer, to be written after those of all earlier requests
     ///
-    /// \return False when no answer to the request is due, as the caller has left
+    /// \return False when the connection no longer expects an answer to the request
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool answer(balance::Ticket ticket, const http::Head& head, std::string body);
 
-    [[nodiscard]] bool answer(balance::Ticket ticket, const LocalAnswer& local); //!< The same in the node's own name
+    [[nodiscard]] bool answer(balance::Ticket ticket, const LocalAnswer& local); //!< Queue an answer of the gateway
 
-    void checkTimeouts(core::Timestamp now); //!< Give up what takes too long
-    void closeIfIdle();                      //!< Close if no request was begun
+    void checkTimeouts(core::Timestamp now); //!< Close the connection or refuse the request when a limit has passed
+    void closeIfIdle();                      //!< Close if no request is being read or answered
 
-    [[nodiscard]] std::optional<core::Timestamp> idleSince() const; //!< Null while a request is begun or under way
-    [[nodiscard]] const std::string&             address() const;   //!< IP number of the caller
+    [[nodiscard]] std::optional<core::Timestamp> idleSince() const; //!< Null while a request is read or answered
+    [[nodiscard]] const std::string&             address() const;   //!< IP address of the caller
 
 private:
     enum class State
     {
-        Open,      //!< Requests come and answers go
-        Lingering, //!< The last answer is written; what still comes is dropped
-        Closed     //!< Of no more use
+        Open,      //!< Requests are read and answers written
+        Lingering, //!< The last answer is written; further input is discarded
+        Closed     //!< The socket is closed
     };
 
     void               read();
@@ -73,26 +74,26 @@
     [[nodiscard]] bool hasNoPendingAnswer() const;
     void               close();
 
-    asio::ip::tcp::socket        m_socket;             //!< Connection
-    std::string                  m_address;            //!< IP number of the caller
-    asio::steady_timer           m_closePollTimer;     //!< Looks for the caller's end while nothing is read
-    CallerEvents&                m_events;             //!< Gateway
-    std::shared_ptr<BodyMemory>  m_bodyMemory;         //!< Memory for bodies, shared with the others
-    RequestReader                m_reader;             //!< Of what comes
-    BodyReservation              m_reservation;        //!< Of the body being read
-    AnswerQueue                  m_pendingAnswers;     //!< Requests handed on
-    std::optional<CallerRequest> m_deferred;           //!< Not to be repeated, so it waits for the answers before it
-    std::optional<PendingAnswer> m_writing;            //!< Its answer is on its way
-    std::array<char, 4096>       m_buffer{};           //!< Bytes as they come
-    core::Timestamp              m_lastActivity{};     //!< Last bytes
-    core::Timestamp              m_readResumedAt{};    //!< Latest moment at which reading was not held up any more
-    State                        m_state{State::Open}; //!< What it does
-    bool                         m_reading{false};     //!< A read is under way
-    bool                         m_pollingForClose{false}; //!< The timer is set
-    bool                         m_expectHandled{false};   //!< The caller asked whether to send the body
-    bool                         m_continuePending{false}; //!< It has not been told yet
-    bool                         m_requestsEnded{false};   //!< No further request is read
-    bool                         m_closeAfterWrite{false}; //!< The answer on its way ends the connection
+    asio::ip::tcp::socket        m_socket;                 //!< Socket of the connection
+    std::string                  m_address;                //!< IP address of the caller
+    asio::steady_timer           m_closePollTimer;         //!< Next check of the socket state while reading is paused
+    CallerEvents&                m_events;                 //!< Interface of the gateway
+    std::shared_ptr<BodyMemory>  m_bodyMemory;             //!< Limit on body memory, shared by all connections
+    RequestReader                m_reader;                 //!< Splits the input into requests
+    BodyReservation              m_reservation;            //!< Memory of the body being read
+    AnswerQueue                  m_pendingAnswers;         //!< Forwarded or refused requests without a written answer
+    std::optional<CallerRequest> m_deferred;               //!< Not repeatable, so waiting for the earlier answers
+    std::optional<PendingAnswer> m_writing;                //!< The answer that is being written
+    std::array<char, 4096>       m_buffer{};               //!< Receive buffer
+    core::Timestamp              m_lastActivity{};         //!< When bytes were last received, or a write began or ended
+    core::Timestamp              m_readResumedAt{};        //!< When a completed write last let reading resume
+    State                        m_state{State::Open};     //!< State of the connection
+    bool                         m_reading{false};         //!< A read operation is pending
+    bool                         m_pollingForClose{false}; //!< `m_closePollTimer` is set
+    bool                         m_expectHandled{false};   //!< `Expect: 100-continue` of the current request was seen
+    bool                         m_continuePending{false}; //!< `100 Continue` has to be written
+    bool                         m_requestsEnded{false};   //!< No further request is read from the connection
+    bool                         m_closeAfterWrite{false}; //!< The answer being written is the last one
 };
 
 } // namespace sailpath::gateway::priv
--- a/src/sailpath/gateway/CallerEvents.hpp
+++ b/src/sailpath/gateway/CallerEvents.hpp
@@ -14,39 +14,39 @@
 class CallerConnection;
 
 ////////////////////////////////////////////////////////////
-/// \brief What a caller's connection needs of the gateway
+/// \brief Interface of the gateway to its callers' connections
 ////////////////////////////////////////////////////////////
 class CallerEvents
 {
 public:
     virtual ~CallerEvents() = default;
 
-    [[nodiscard]] virtual balance::Ticket newTicket() = 0; //!< For the next request
+    [[nodiscard]] virtual balance::Ticket newTicket() = 0; //!< Ticket for the next request
 
-    virtual void requestRead(CallerConnection& caller, balance::Ticket ticket, CallerRequest request) = 0; //!< Whole
-    virtual void answerStarted(balance::Ticket ticket) = 0;      //!< The turn of its answer has come
-    virtual void callerLeft(balance::Ticket ticket) = 0;         //!< Before the turn of its answer came
-    virtual void connectionClosed(CallerConnection& caller) = 0; //!< The connection is closed
+    virtual void requestRead(CallerConnection& caller, balance::Ticket ticket, CallerRequest request) = 0; //!< Complete
+    virtual void answerStarted(balance::Ticket ticket) = 0;      //!< The answer begins to be written
+    virtual void callerLeft(balance::Ticket ticket) = 0;         //!< Closed before the answer was written
+    virtual void connectionClosed(CallerConnection& caller) = 0; //!< Last call of the connection
 
     ////////////////////////////////////////////////////////////
-    /// \brief An own answer is given before a whole request was read
+    /// \brief Record that a request was refused before it was read whole
     ///
-    /// \param head Of the request, as far as it is known; null when there is none
+    /// \param head Head of the request as far as it was read; null when nothing was read
     ////////////////////////////////////////////////////////////
     virtual void refusedUnread(const http::Head* head, unsigned status, std::string_view reason) = 0;
 
     ////////////////////////////////////////////////////////////
-    /// \brief The earliest time at which bytes that are read now may have come
+    /// \brief Return the earliest time at which bytes that are read now may have arrived
     ///
-    /// Now, but after the loop has stood still.
+    /// The current time, or the beginning of a stall of the event loop that has just ended.
     ////////////////////////////////////////////////////////////
     [[nodiscard]] virtual core::Timestamp earliestArrival() = 0;
 
-    [[nodiscard]] virtual std::string workspaceOf(const http::Head& head) const = 0;  //!< Whose request it is
-    [[nodiscard]] virtual bool        isRepeatable(const http::Head& head) const = 0; //!< It may run more than once
-    [[nodiscard]] virtual const deployment::CallerLimits& limits() const = 0;         //!< In force
-    [[nodiscard]] virtual bool                            configured() const = 0; //!< Whether these are the operator's
-    [[nodiscard]] virtual bool closesConnections() const = 0; //!< Connections end at the next answer
+    [[nodiscard]] virtual std::string workspaceOf(const http::Head& head) const = 0; //!< To count its memory for
+    [[nodiscard]] virtual bool isRepeatable(const http::Head& head) const = 0; //!< The request may run more than once
+    [[nodiscard]] virtual const deployment::CallerLimits& limits() const = 0;  //!< Limits in force
+    [[nodiscard]] virtual bool configured() const = 0;                         //!< The limits are those of the operator
+    [[nodiscard]] virtual bool closesConnections() const = 0;                  //!< A planned stop has begun
 };
 
 } // namespace sailpath::gateway::priv
--- a/src/sailpath/gateway/CallerRequest.hpp
+++ b/src/sailpath/gateway/CallerRequest.hpp
@@ -10,14 +10,14 @@
 namespace sailpath::gateway::priv
 {
 ////////////////////////////////////////////////////////////
-/// \brief A whole request of a caller
+/// \brief A complete request of a caller
 ////////////////////////////////////////////////////////////
 struct CallerRequest
 {
-    http::Head      head;          //!< As it came
-    std::string     body;          //!< Whole
-    core::Timestamp firstByteAt{}; //!< When its first byte came
-    BodyReservation reservation;   //!< Of its body
+    http::Head      head;          //!< As received
+    std::string     body;          //!< Decoded and complete
+    core::Timestamp firstByteAt{}; //!< When the first byte arrived
+    BodyReservation reservation;   //!< Memory of the body
 };
 
 } // namespace sailpath::gateway::priv
--- a/src/sailpath/gateway/RequestReader.cpp
+++ b/src/sailpath/gateway/RequestReader.cpp
@@ -7,18 +7,18 @@
 {
 namespace
 {
-constexpr std::size_t maxChunks = 64; // Times kept of unread bytes; later ones count as come with the last of these
+constexpr std::size_t maxChunks = 64; // Arrival times kept for unread bytes; later bytes get the time of the last chunk
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-void RequestReader::append(std::string_view bytes, core::Timestamp at)
+void RequestReader::append(std::string_view bytes, core::Timestamp receivedAt)
 {
     if (m_stopped || bytes.empty())
         return;
     m_unread.append(bytes);
     if (m_chunks.size() < maxChunks)
-        m_chunks.push_back({bytes.size(), at});
+        m_chunks.push_back({bytes.size(), receivedAt});
     else
         m_chunks.back().bytes += bytes.size();
 }
@@ -35,7 +35,7 @@
 ////////////////////////////////////////////////////////////
 http::ReadState RequestReader::read(const deployment::CallerLimits& limits)
 {
-    // Empty lines before a request are no part of it.
+    // Empty lines before a request are skipped.
     if (!m_message)
         consume(std::min(m_unread.find_first_not_of("\r\n"), m_unread.size()));
     if (!m_message && m_unread.empty())
@@ -111,7 +111,7 @@
 ////////////////////////////////////////////////////////////
 std::int64_t RequestReader::bodyBytesToReserve() const
 {
-    // A length that is told is reserved whole, so that bodies that grow side by side cannot all fail.
+    // A declared length is reserved at once, so that concurrent bodies cannot all run out of memory half way.
     const auto declared = static_cast<std::int64_t>(m_message->bodyLength().value_or(0));
     return std::max(declared, static_cast<std::int64_t>(m_message->bodySize()));
 }
--- a/src/sailpath/gateway/RequestReader.hpp
+++ b/src/sailpath/gateway/RequestReader.hpp
@@ -14,52 +14,52 @@
 namespace sailpath::gateway::priv
 {
 ////////////////////////////////////////////////////////////
-/// \brief Cuts the bytes of a caller's connection into requests; each knows when its first byte came
+/// \brief Splits the bytes of a caller's connection into requests, each with the arrival time of its first byte
 ///
-/// Does no input or output. Bytes that came while nothing was read keep
-/// the time at which they came.
+/// Does no input or output. Bytes that wait in the reader keep the time at
+/// which they were received.
 ////////////////////////////////////////////////////////////
 class RequestReader
 {
 public:
-    void append(std::string_view bytes, core::Timestamp receivedAt); //!< Bytes came
-    void stop();                                                     //!< Forget what came; nothing is read any more
+    void append(std::string_view bytes, core::Timestamp receivedAt); //!< Add received bytes
+    void stop();                                                     //!< Discard all bytes, now and later
 
     ////////////////////////////////////////////////////////////
-    /// \brief Read on in the request that was begun, or begin the next
+    /// \brief Continue reading the current request, or begin the next one
     ///
-    /// \param limits Hold for a request that is begun now
+    /// \param limits Limits on the request if it begins now
     ///
-    /// \return `Head` also when nothing of a request has come. After `Done` the request has to be taken
+    /// \return `Head` also when no byte of a request was received. After `Done` call `takeBody` and `finishRequest`
     ////////////////////////////////////////////////////////////
     [[nodiscard]] http::ReadState read(const deployment::CallerLimits& limits);
 
-    [[nodiscard]] std::string takeBody();      //!< Of the request that is done
-    void                      finishRequest(); //!< The request that is done is dealt with
+    [[nodiscard]] std::string takeBody();      //!< Move the body out of the complete request
+    void                      finishRequest(); //!< Drop the complete request, so that the next one can begin
 
-    [[nodiscard]] bool              hasRequest() const;         //!< A request has begun
-    [[nodiscard]] bool              empty() const;              //!< Nothing of a request has come
-    [[nodiscard]] bool              headComplete() const;       //!< The head of the request that has begun is whole
-    [[nodiscard]] const http::Head& head() const;               //!< Of the request that has begun
-    [[nodiscard]] core::Timestamp   firstByteAt() const;        //!< First byte of the request that has begun
-    [[nodiscard]] std::int64_t      bodyBytesToReserve() const; //!< Memory for its body: as told, or as come so far
-    [[nodiscard]] std::size_t       unreadBytes() const;        //!< Bytes that were not looked at yet
+    [[nodiscard]] bool              hasRequest() const;         //!< A byte of a request was read
+    [[nodiscard]] bool              empty() const;              //!< No byte of a request was received
+    [[nodiscard]] bool              headComplete() const;       //!< The head of the current request is read
+    [[nodiscard]] const http::Head& head() const;               //!< Head of the current request
+    [[nodiscard]] core::Timestamp   firstByteAt() const;        //!< Arrival of the current request's first byte
+    [[nodiscard]] std::int64_t      bodyBytesToReserve() const; //!< The larger of declared and received body size
+    [[nodiscard]] std::size_t       unreadBytes() const;        //!< Number of bytes received but not parsed
 
 private:
-    /// \brief Bytes that came together
+    /// \brief Bytes that were received together
     struct Chunk
     {
-        std::size_t     bytes{0};     //!< Of these, not looked at yet
-        core::Timestamp receivedAt{}; //!< When they came
+        std::size_t     bytes{0};     //!< Number of them that are not parsed yet
+        core::Timestamp receivedAt{}; //!< When the bytes were received
     };
 
     void consume(std::size_t bytes);
 
-    std::string                          m_unread;         //!< Bytes not looked at yet
-    std::deque<Chunk>                    m_chunks;         //!< When these came, in order
-    std::unique_ptr<http::MessageReader> m_message;        //!< Of the request that has begun; null between requests
-    core::Timestamp                      m_firstByteAt{};  //!< First byte of that request
-    bool                                 m_stopped{false}; //!< Nothing is read any more
+    std::string                          m_unread;         //!< Bytes received but not parsed
+    std::deque<Chunk>                    m_chunks;         //!< Arrival times of the unread bytes, oldest first
+    std::unique_ptr<http::MessageReader> m_message;        //!< Parser of the current request; null between requests
+    core::Timestamp                      m_firstByteAt{};  //!< Arrival of the current request's first byte
+    bool                                 m_stopped{false}; //!< `stop` was called; further bytes are discarded
 };
 
 } // namespace sailpath::gateway::priv
--- a/src/sailpath/gateway/ServerConnection.cpp
+++ b/src/sailpath/gateway/ServerConnection.cpp
@@ -15,8 +15,8 @@
 namespace
 {
 constexpr std::uint32_t maxHeadBytes = 64U * 1024;
-constexpr auto          minResetWait = std::chrono::milliseconds{1}; // For a reset to arrive, a round trip as a rule:
-constexpr auto          maxResetWait = std::chrono::milliseconds{5}; // as long as connecting took, within these
+constexpr auto          minResetWait = std::chrono::milliseconds{1}; // Bounds of the wait for a reset, which is as long
+constexpr auto          maxResetWait = std::chrono::milliseconds{5}; // as connecting took: about one round trip
 
 } // namespace
 
@@ -118,8 +118,8 @@
         m_state = State::Busy;
         return write();
     }
-    // A server that takes no further connection resets it at once. Before anything is sent that says that the request
-    // has not run; afterwards nobody could tell.
+    // A server that accepts no further connection resets a new one at once. A reset before anything is sent proves that
+    // the request has not run; after the request is sent, a reset would leave that open.
     const auto tookToConnect = core::now() - m_since;
     auto       self = shared_from_this();
     m_timer.expires_after(std::clamp<core::Duration>(tookToConnect, minResetWait, maxResetWait));
@@ -141,7 +141,7 @@
     asio::async_write(m_socket, asio::buffer(m_request.bytes),
                       [self](const asio::error_code& error, std::size_t)
                       {
-                          // An error shows on the reading side too, where an answer may still wait.
+                          // A write error is also reported to the pending read, after any answer that was received.
                           self->m_requestWritten = !error;
                       });
 }
@@ -169,7 +169,7 @@
 ////////////////////////////////////////////////////////////
 void ServerConnection::handleBytes(std::size_t bytes)
 {
-    // Bytes that come at rest belong to no request.
+    // Bytes on an idle connection belong to no request.
     if (m_state != State::Busy)
         return close();
     m_unread.append(m_buffer.data(), bytes);
@@ -202,7 +202,7 @@
 {
     if (std::exchange(m_noticeReported, true))
         return;
-    // An answer that nobody waits for any more, or that comes twice, speaks for its server all the same.
+    // A notice holds for the server even if its answer is late or a duplicate.
     const balance::ServerNotice notice = parseNotice(m_reader->head(), m_request.probe, m_instance->id, m_dialect);
     if (!notice.empty())
         m_onNotice(m_instance, notice,
@@ -216,7 +216,7 @@
     const bool        interim = head.status < 200;
     if (interim || !answersRequest(head))
     {
-        // An answer to an earlier request, or none yet; the one that is due may follow.
+        // An interim answer, or one to an earlier request; the expected answer may follow.
         m_notReusable = m_notReusable || !interim;
         if (head.untilEnd)
             return handleEnd(false);
@@ -225,7 +225,7 @@
     }
     const balance::Outcome outcome =
         m_request.probe ? classifyProbe(head, m_instance->id, m_dialect) : classifyAnswer(head, m_dialect);
-    // After what is not the server's answer, the one that is due may still come.
+    // After an answer that is not the server's own, the expected one may still arrive, so the connection is not reused.
     const bool reusable = outcome.end != balance::AttemptEnd::Lost && !m_notReusable;
     const bool keep = head.keepAlive && !head.untilEnd && m_requestWritten && reusable && m_unread.empty();
     m_keepAliveTimeout = parseKeepAlive(head);
--- a/src/sailpath/gateway/ServerConnection.hpp
+++ b/src/sailpath/gateway/ServerConnection.hpp
@@ -17,28 +17,28 @@
 namespace sailpath::gateway::priv
 {
 ////////////////////////////////////////////////////////////
-/// \brief What a server answered
+/// \brief A complete answer of a server
 ////////////////////////////////////////////////////////////
 struct ServerAnswer
 {
-    http::Head  head; //!< As it came
-    std::string body; //!< Whole
+    http::Head  head; //!< As received
+    std::string body; //!< Decoded and complete
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief One request to be sent on one connection
+/// \brief One request to be sent on a connection to a server
 ////////////////////////////////////////////////////////////
 struct OutgoingRequest
 {
-    std::string id;                //!< That the answer has to repeat
-    std::string bytes;             //!< Head and body
-    bool        headOnly{false};   //!< Its answer has no body
-    bool        probe{false};      //!< Asks for the load; the answer has no id
-    bool        atMostOnce{false}; //!< May not run twice, so a new connection has to prove itself before it is sent
+    std::string id;                //!< Request id that the answer has to repeat
+    std::string bytes;             //!< Head and body as sent
+    bool        headOnly{false};   //!< The answer has no body
+    bool        probe{false};      //!< A health check; its answer carries no request id
+    bool        atMostOnce{false}; //!< May not run twice; on a new connection, sent only after a wait for a reset
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief A connection to one instance; serves one request at a time
+/// \brief A connection to one instance, for one request at a time
 ////////////////////////////////////////////////////////////
 class ServerConnection : public std::enable_shared_from_this<ServerConnection>
 {
@@ -53,25 +53,25 @@
                      const GatewaySettings& settings, const Dialect& dialect, ChangeCallback onChange,
                      NoticeCallback onNotice);
 
-    void send(OutgoingRequest request, DoneCallback onDone); //!< Connect if needed, send, report the end once
-    void check(CheckCallback onChecked); //!< Connect and come to rest; report once whether that could be done
-    void abandon();                      //!< Break off without a report
-    void close();                        //!< Close; a request under way is reported as lost
+    void send(OutgoingRequest request, DoneCallback onDone); //!< Connect if needed and send; reports the outcome once
+    void check(CheckCallback onChecked);                     //!< Connect and become idle; reports the result once
+    void abandon();                                          //!< Close without reporting an outcome
+    void close(); //!< Close; reports an unfinished request as lost or not sent
 
-    [[nodiscard]] const deployment::Instance& instance() const;         //!< Where it leads
-    [[nodiscard]] bool                        idle() const;             //!< Open and at rest
-    [[nodiscard]] bool                        closed() const;           //!< Of no more use
-    [[nodiscard]] core::Duration              idleTime() const;         //!< Time at rest
-    [[nodiscard]] core::Duration              keepAliveTimeout() const; //!< Rest that the server allows
+    [[nodiscard]] const deployment::Instance& instance() const; //!< Instance at the other end
+    [[nodiscard]] bool                        idle() const;     //!< Open and without a request
+    [[nodiscard]] bool                        closed() const;
+    [[nodiscard]] core::Duration              idleTime() const;         //!< Since it became idle
+    [[nodiscard]] core::Duration              keepAliveTimeout() const; //!< Named by the server; 0 if not
 
 private:
     enum class State
     {
-        New,        //!< Not connected
-        Connecting, //!< On the way
-        Busy,       //!< A request is under way
-        Idle,       //!< At rest
-        Closed      //!< Of no more use
+        New,        //!< Not connected yet
+        Connecting, //!< Being connected, or waiting for a reset before the request is sent
+        Busy,       //!< A request is in progress
+        Idle,       //!< Open and without a request
+        Closed      //!< The socket is closed
     };
 
     void               connect();
@@ -84,28 +84,28 @@
     void               handleAnswer();
     void               finish(const balance::Outcome& outcome, ServerAnswer answer, bool keep);
     void               startReader();
-    void               reportNotice(); //!< From the head that is being read, once it is whole
+    void               reportNotice(); //!< From the complete head of the answer, once for each answer
     [[nodiscard]] bool answersRequest(const http::Head& head) const;
 
-    asio::ip::tcp::socket                       m_socket;                //!< Connection
-    asio::steady_timer                          m_timer;                 //!< For connecting
-    std::shared_ptr<const deployment::Instance> m_instance;              //!< Where it leads
-    const GatewaySettings&                      m_settings;              //!< Constants
-    const Dialect&                              m_dialect;               //!< Names
-    ChangeCallback                              m_onChange;              //!< Told when it comes to rest or closes
-    NoticeCallback                              m_onNotice;              //!< Told of notices on answers
-    DoneCallback                                m_onDone;                //!< Told of the end of the request
-    CheckCallback                               m_onChecked;             //!< Told of the end of a check
-    OutgoingRequest                             m_request;               //!< Under way
-    std::unique_ptr<http::MessageReader>        m_reader;                //!< Of the answer
-    std::string                                 m_unread;                //!< Bytes not taken yet
-    std::array<char, 8192>                      m_buffer{};              //!< Bytes as they come
-    core::Timestamp                             m_since{};               //!< Start of the rest, or of connecting
-    core::Duration                              m_keepAliveTimeout{};    //!< As the server said; 0 when it did not
-    State                                       m_state{State::New};     //!< What it does
-    bool                                        m_requestWritten{false}; //!< The request is out
-    bool                                        m_noticeReported{false}; //!< The notice of this answer was told
-    bool                                        m_notReusable{false};    //!< Must not be used again
+    asio::ip::tcp::socket                       m_socket;    //!< Socket of the connection
+    asio::steady_timer                          m_timer;     //!< Timeout of connecting; wait for a reset
+    std::shared_ptr<const deployment::Instance> m_instance;  //!< Instance at the other end
+    const GatewaySettings&                      m_settings;  //!< Timeouts and sizes
+    const Dialect&                              m_dialect;   //!< Names of header fields
+    ChangeCallback                              m_onChange;  //!< Called when the connection becomes idle or closes
+    NoticeCallback                              m_onNotice;  //!< Called for notices on answers
+    DoneCallback                                m_onDone;    //!< Called with the outcome of the request
+    CheckCallback                               m_onChecked; //!< Called with the result of a check
+    OutgoingRequest                             m_request;   //!< Request in progress
+    std::unique_ptr<http::MessageReader>        m_reader;    //!< Parser of the answer
+    std::string                                 m_unread;    //!< Bytes received but not parsed
+    std::array<char, 8192>                      m_buffer{};  //!< Receive buffer
+    core::Timestamp                             m_since{};   //!< When the connection became idle, or began to connect
+    core::Duration                              m_keepAliveTimeout{};    //!< Named by the server; 0 if not
+    State                                       m_state{State::New};     //!< State of the connection
+    bool                                        m_requestWritten{false}; //!< All of the request is written
+    bool                                        m_noticeReported{false}; //!< The answer's notice is reported
+    bool                                        m_notReusable{false};    //!< Got an answer to another request
 };
 
 } // namespace sailpath::gateway::priv
--- a/src/sailpath/gateway/ServerConnections.cpp
+++ b/src/sailpath/gateway/ServerConnections.cpp
@@ -20,7 +20,7 @@
 ServerConnections::acquire(const std::shared_ptr<const deployment::Instance>& instance, bool recentlyUsed)
 {
     List&                             list = m_byInstance[instance->id];
-    // The one that came to rest last is the likeliest to be open still.
+    // The connection that became idle last is the least likely to have been closed by the server.
     std::shared_ptr<ServerConnection> best;
     for (const auto& connection : list)
     {
--- a/src/sailpath/gateway/ServerConnections.hpp
+++ b/src/sailpath/gateway/ServerConnections.hpp
@@ -13,7 +13,7 @@
 namespace sailpath::gateway::priv
 {
 ////////////////////////////////////////////////////////////
-/// \brief All connections to servers, by instance
+/// \brief Pool of all connections to servers, by instance
 ////////////////////////////////////////////////////////////
 class ServerConnections
 {
@@ -24,30 +24,32 @@
                       CountCallback onCount, ServerConnection::NoticeCallback onNotice);
 
     ////////////////////////////////////////////////////////////
-    /// \brief A connection at rest, or a new one
+    /// \brief Return an idle connection to the instance, or a new one when none is usable
     ///
-    /// \param proven Only one that rested for a short time
+    /// \param recentlyUsed True to reuse only connections that have been idle for a short time
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::shared_ptr<ServerConnection> acquire(const std::shared_ptr<const deployment::Instance>& instance,
                                                             bool recentlyUsed);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Open a further connection to see whether the instance still takes any; it is kept for the next request
+    /// \brief Open a new connection to check that the instance still accepts any; it stays in the pool
     ////////////////////////////////////////////////////////////
     void check(const std::shared_ptr<const deployment::Instance>& instance, ServerConnection::CheckCallback onChecked);
 
-    void closeExpired(); //!< Close what rested for long
-    void closeIdle();    //!< Close all that rest
+    void closeExpired(); //!< Close connections that were idle too long, or whose data centre is evacuated
+    void closeIdle();    //!< Close all idle connections
 
     ////////////////////////////////////////////////////////////
-    /// \brief Close what rests, or comes to rest, to instances of evacuated data centres
+    /// \brief Close the idle connections to instances of evacuated data centres, now and in `closeExpired`
     ////////////////////////////////////////////////////////////
     void setEvacuated(const std::set<std::string>& dataCentres);
 
-    void closeRestarted(std::span<const deployment::Instance> instances); //!< Close what rests to servers that
-                                                                          //!< have started again since
+    ////////////////////////////////////////////////////////////
+    /// \brief Close the idle connections to servers that have restarted since the connection was opened
+    ////////////////////////////////////////////////////////////
+    void closeRestarted(std::span<const deployment::Instance> instances);
 
-    [[nodiscard]] std::uint64_t opened() const; //!< Connections opened since the start
+    [[nodiscard]] std::uint64_t opened() const; //!< Connections opened since the process started
 
 private:
     [[nodiscard]] std::shared_ptr<ServerConnection> add(const std::shared_ptr<const deployment::Instance>& instance);
@@ -59,14 +61,14 @@
 
     using List = std::vector<std::shared_ptr<ServerConnection>>;
 
-    asio::io_context&                     m_context;    //!< Loop
-    const GatewaySettings&                m_settings;   //!< Constants
-    const Dialect&                        m_dialect;    //!< Names
-    CountCallback                         m_onCount;    //!< Told the counts
-    ServerConnection::NoticeCallback      m_onNotice;   //!< Told of notices on answers
-    std::unordered_map<std::string, List> m_byInstance; //!< Open ones
-    std::uint64_t                         m_opened{0};  //!< Since the start
-    std::set<std::string>                 m_evacuated;  //!< Data centres
+    asio::io_context&                     m_context;    //!< Event loop
+    const GatewaySettings&                m_settings;   //!< Timeouts and sizes
+    const Dialect&                        m_dialect;    //!< Names of header fields
+    CountCallback                         m_onCount;    //!< Called when the number of connections changes
+    ServerConnection::NoticeCallback      m_onNotice;   //!< Called for notices on answers
+    std::unordered_map<std::string, List> m_byInstance; //!< Connections that are not closed, by instance id
+    std::uint64_t                         m_opened{0};  //!< Connections opened since the process started
+    std::set<std::string>                 m_evacuated;  //!< Data centres that are evacuated
 };
 
 } // namespace sailpath::gateway::priv
