--- a/src/sailpath/gateway/CallerConnection.cpp
+++ b/src/sailpath/gateway/CallerConnection.cpp
@@ -254,7 +254,7 @@
     m_writing = m_pendingAnswers.popReady();
     if (!m_writing)
         return;
-    // The idle time of a write counts from its start. Counted from the caller's last bytes, the timeout check cut answers
+    // The idle time of a write counts from its start. Counted from the caller's last bytes, a timeout check cut answers
     // that took longer than the idle time while they were written: 15 of 160 such answers, against none of 320 since.
     m_lastActivity = core::now();
     // A planned stop closes the connection after the last forwarded request is answered.
--- a/test/gateway/Accepting.test.cpp
+++ b/test/gateway/Accepting.test.cpp
@@ -16,7 +16,7 @@
 using support::TestCaller;
 
 ////////////////////////////////////////////////////////////
-/// \brief Holds the process to few descriptors for a while
+/// \brief Limits the file descriptors of the process during its lifetime
 ////////////////////////////////////////////////////////////
 class DescriptorLimit
 {
@@ -42,7 +42,7 @@
 
 } // namespace
 
-// A node that says that it is ready takes new connections.
+// A node that reports itself ready must accept new connections, also when its places or descriptors are used up.
 BOOST_AUTO_TEST_SUITE(AcceptingTest)
 
 BOOST_AUTO_TEST_CASE(ANewCallerReplacesTheOneThatWasIdleLongest)
@@ -72,7 +72,7 @@
         idle.push_back(std::make_unique<TestCaller>(setup.gateway->port()));
     idle.back()->write(Fixture::request("/read/x", "a1"));
     BOOST_TEST(statusOf(idle.back()->readAnswer()) == 200);
-    // This caller's loop takes three descriptors and its socket the last one, so none is left to accept it with.
+    // The late caller's event loop uses three descriptors and its socket the fourth, so none is left for the accept.
     const int next = ::dup(0);
     ::close(next);
     const DescriptorLimit lowered(static_cast<rlim_t>(next) + 4);
@@ -80,7 +80,7 @@
     TestCaller            late(setup.gateway->port());
     late.write(Fixture::request("/read/x", "a2"));
     BOOST_TEST(statusOf(late.readAnswer()) == 200);
-    // Sooner than those at rest reach the end of the rest that they are allowed.
+    // Well before the idle callers reach their idle timeout.
     BOOST_TEST((std::chrono::steady_clock::now() - begin < 1s));
 }
 
--- a/test/gateway/AnswerHead.test.cpp
+++ b/test/gateway/AnswerHead.test.cpp
@@ -43,7 +43,7 @@
     const http::HeaderField load{"X-Load", "7,0,8"};
     BOOST_TEST(classifyAnswer(headOf(200, {{"X-Id", "r"}, {"X-Mark", "m"}, load}), dialect).load.has_value());
     BOOST_TEST(classifyAnswer(headOf(503, {{"X-Id", "r"}, {"X-Not-Run", "full"}, load}), dialect).load.has_value());
-    // Another instance has the address and tells its own load.
+    // A 421 means that another instance has the address; the load is that instance's.
     const auto misdirected = classifyAnswer(headOf(421, {{"X-Id", "r"}, {"X-Not-Run", "other"}, load}), dialect);
     BOOST_TEST(misdirected.misdirected);
     BOOST_TEST(!misdirected.load.has_value());
--- a/test/gateway/NewConnections.test.cpp
+++ b/test/gateway/NewConnections.test.cpp
@@ -18,7 +18,7 @@
 using support::TestCaller;
 
 ////////////////////////////////////////////////////////////
-/// \brief A server that resets every connection as soon as it has come up
+/// \brief A server that resets every connection as soon as it is accepted
 ////////////////////////////////////////////////////////////
 class ResettingServer
 {
@@ -64,11 +64,11 @@
         }
     }
 
-    asio::io_context        m_context;         //!< For the sockets
-    asio::ip::tcp::acceptor m_acceptor;        //!< Listens
-    std::atomic<bool>       m_stopping{false}; //!< The server ends
-    std::atomic<unsigned>   m_resets{0};       //!< Connections reset
-    std::thread             m_thread;          //!< Accepts
+    asio::io_context        m_context;         //!< Context of the sockets
+    asio::ip::tcp::acceptor m_acceptor;        //!< Listening socket
+    std::atomic<bool>       m_stopping{false}; //!< Set by the destructor
+    std::atomic<unsigned>   m_resets{0};       //!< Number of connections reset
+    std::thread             m_thread;          //!< Accepts connections and resets them
 };
 
 } // namespace
--- a/test/gateway/Pipelining.test.cpp
+++ b/test/gateway/Pipelining.test.cpp
@@ -17,11 +17,11 @@
 using support::statusOf;
 using support::TestCaller;
 
-constexpr std::size_t maxPipelined = 16; // As CallerConnection bounds it
+constexpr std::size_t maxPipelined = 16; // Same as in CallerConnection.cpp
 constexpr std::size_t sixtyFourKilobytes = 65536;
 
 ////////////////////////////////////////////////////////////
-/// \brief A patient gateway before a server that has room for all that a test sends
+/// \brief A gateway in front of one server with enough slots for all requests of a test
 ////////////////////////////////////////////////////////////
 struct RoomyFixture : PatientFixture
 {
@@ -63,7 +63,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief The server takes this long for each request, by id
+/// \brief Return an echoing server's function that delays the answers to the given request ids
 ////////////////////////////////////////////////////////////
 ScriptedServer::Answer delayedEcho(const std::map<std::string, std::chrono::milliseconds>& delays)
 {
@@ -86,7 +86,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief The number behind `key=` in the log line of a request; -1 without one
+/// \brief Return the number after `key=` in the log line of a request; -1 when it is missing
 ////////////////////////////////////////////////////////////
 double loggedNumber(const std::string& log, const std::string& id, const std::string& key)
 {
@@ -100,7 +100,7 @@
 
 } // namespace
 
-// Requests sent behind others on one connection.
+// Several requests sent on one connection before the first answer.
 BOOST_AUTO_TEST_SUITE(PipeliningTest)
 
 BOOST_AUTO_TEST_CASE(AnswersComeInTheOrderOfTheRequests)
@@ -126,8 +126,8 @@
 
 BOOST_AUTO_TEST_CASE(AnAnswerThatComesAfterTheIdleTimeIsWrittenWhole)
 {
-    // A caller waits longer for its answer than it may be idle, and takes its time to read it.
-    const std::string body(12U << 20U, 'x'); // More than sockets hold: it is still being written at the next sweep
+    // The answer arrives after the idle timeout, and the caller then reads it slowly.
+    const std::string body(12U << 20U, 'x'); // Exceeds the socket buffers, so a timeout check falls into the write
     Fixture           setup(
         [&](const std::string& request)
         {
@@ -164,7 +164,7 @@
 
 BOOST_AUTO_TEST_CASE(TimeCountsFromTheFirstByteAlsoWhenReadingWasPaused)
 {
-    // More than are served side by side: the last one's first byte has waited unread.
+    // More requests than are forwarded concurrently: the last one waits unread in the connection.
     RoomyFixture setup(delayedEcho({{"a0", 700ms}}));
     TestCaller   caller(setup.gateway->port());
     const int    count = static_cast<int>(maxPipelined) + 2;
@@ -195,7 +195,7 @@
     TestCaller   caller(setup.gateway->port());
     caller.write(readRequests(0, 1));
     setup.waitForRequests(1);
-    // What fills the gateway's own buffer is not read on, so the end is not seen by reading.
+    // More than the gateway buffers: reading pauses, so no read reports that the caller has closed.
     caller.write(readRequests(1, 1500));
     std::this_thread::sleep_for(200ms);
     caller.close();
@@ -218,7 +218,7 @@
     BOOST_TEST(caller.readAnswer().ends_with("for a0"));
     BOOST_TEST(caller.readAnswer().ends_with("for p1"));
     BOOST_TEST(caller.readAnswer().ends_with("for a2"));
-    // The requests after it go out beside it, on other connections: which of them the server reads first is open.
+    // The request after p1 is sent concurrently on another connection, so the server may read the two in any order.
     const auto requests = setup.server.requests();
     const auto sent = std::count_if(requests.begin(), requests.end(),
                                     [](const std::string& request) { return fieldOf(request, "X-Id") == "p1"; });
@@ -342,7 +342,7 @@
 
 BOOST_AUTO_TEST_CASE(WaitingAnswersUseBodyMemoryAndPauseReading)
 {
-    // The fixture has 140 kB for bodies: a few answers of 30 kB that wait leave no room for further requests.
+    // The fixture has 140 kB of body memory: a few waiting answers of 30 kB leave no memory for further requests.
     const std::string large(30'000, 'x');
     RoomyFixture      setup(
         [large](const std::string& request)
@@ -360,7 +360,7 @@
     BOOST_TEST(setup.server.requests().size() < 8U);
     for (int i = 0; i < 12; ++i)
         BOOST_TEST(caller.readAnswer().ends_with(large));
-    // All memory was given back: a body of nearly all of a request's limit finds room.
+    // All memory was released: a body almost as large as the limit for one request is accepted.
     TestCaller other(setup.gateway->port());
     other.write(Fixture::request("/pay/x", "b", "Content-Length: 49000\r\n", "POST") + std::string(49'000, 'x'));
     BOOST_TEST(statusOf(other.readAnswer()) == 200);
--- a/test/gateway/RequestReader.test.cpp
+++ b/test/gateway/RequestReader.test.cpp
@@ -65,7 +65,7 @@
     for (int i = 0; i < 50; ++i)
     {
         BOOST_REQUIRE((reader.read(limits) == http::ReadState::Done));
-        // A time that was not kept is an earlier one, so that no request seems younger than it is.
+        // Bytes beyond the last kept time get an earlier time than their own, so no request seems newer than it is.
         BOOST_TEST((reader.firstByteAt() >= last));
         BOOST_TEST((reader.firstByteAt() <= begin + 64ms));
         last = reader.firstByteAt();
--- a/test/support/CrashingServer.cpp
+++ b/test/support/CrashingServer.cpp
@@ -11,7 +11,7 @@
 {
 namespace
 {
-constexpr auto handlingTime = std::chrono::milliseconds{5}; // Until a request shows what it does
+constexpr auto handlingTime = std::chrono::milliseconds{5}; // From a request until its answer or the crash
 
 } // namespace
 
@@ -52,7 +52,7 @@
     const std::lock_guard<std::mutex> lock(m_mutex);
     if (m_crashed.exchange(true))
         return;
-    // A shutdown of the listening socket ends the wait for connections; from then on none is taken.
+    // Shutting down the listening socket ends the blocking accept, after which no connection is accepted.
     ::shutdown(m_acceptor.native_handle(), SHUT_RDWR);
     for (const auto& socket : m_sockets)
         ::shutdown(socket->native_handle(), SHUT_RDWR);
