--- a/src/sailpath/gateway/CallerRequest.hpp
+++ b/src/sailpath/gateway/CallerRequest.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "BodyClaim.hpp"
+#include "BodyReservation.hpp"
 
 #include <sailpath/core/Time.hpp>
 #include <sailpath/http/Head.hpp>
@@ -10,14 +10,14 @@
 namespace sailpath::gateway::priv
 {
 ////////////////////////////////////////////////////////////
-/// \brief A whole request of a caller
+/// \brief A complete request of a caller
 ////////////////////////////////////////////////////////////
 struct CallerRequest
 {
-    http::Head      head;    //!< As it came
-    std::string     body;    //!< Whole
-    core::Timestamp since{}; //!< When its first byte came
-    BodyClaim       memory;  //!< Of its body
+    http::Head      head;          //!< As received
+    std::string     body;          //!< Decoded and complete
+    core::Timestamp firstByteAt{}; //!< When the first byte arrived
+    BodyReservation reservation;   //!< Memory of the body
 };
 
 } // namespace sailpath::gateway::priv
--- a/test/gateway/Accepting.test.cpp
+++ b/test/gateway/Accepting.test.cpp
@@ -16,25 +16,25 @@
 using support::TestCaller;
 
 ////////////////////////////////////////////////////////////
-/// \brief Holds the process to few descriptors for a while
+/// \brief Limits the file descriptors of the process during its lifetime
 ////////////////////////////////////////////////////////////
-class FewDescriptors
+class DescriptorLimit
 {
 public:
-    explicit FewDescriptors(rlim_t most)
+    explicit DescriptorLimit(rlim_t limit)
     {
         ::getrlimit(RLIMIT_NOFILE, &m_before);
-        const rlimit few{most, m_before.rlim_max};
-        ::setrlimit(RLIMIT_NOFILE, &few);
+        const rlimit lowered{limit, m_before.rlim_max};
+        ::setrlimit(RLIMIT_NOFILE, &lowered);
     }
 
-    ~FewDescriptors()
+    ~DescriptorLimit()
     {
         ::setrlimit(RLIMIT_NOFILE, &m_before);
     }
 
-    FewDescriptors(const FewDescriptors&) = delete;
-    FewDescriptors& operator=(const FewDescriptors&) = delete;
+    DescriptorLimit(const DescriptorLimit&) = delete;
+    DescriptorLimit& operator=(const DescriptorLimit&) = delete;
 
 private:
     rlimit m_before{};
@@ -42,10 +42,10 @@
 
 } // namespace
 
-// A node that says that it is ready takes new connections.
+// A node that reports itself ready must accept new connections, also when its places or descriptors are used up.
 BOOST_AUTO_TEST_SUITE(AcceptingTest)
 
-BOOST_AUTO_TEST_CASE(ANewCallerTakesThePlaceOfTheOneThatRestedLongest)
+BOOST_AUTO_TEST_CASE(ANewCallerReplacesTheOneThatWasIdleLongest)
 {
     Fixture    setup(Fixture::echo, true, 10s, 2);
     TestCaller first(setup.gateway->port());
@@ -58,29 +58,29 @@
     TestCaller third(setup.gateway->port());
     third.write(Fixture::request("/read/x", "a3"));
     BOOST_TEST(statusOf(third.readAnswer()) == 200);
-    BOOST_TEST(first.ended());
+    BOOST_TEST(first.closedByPeer());
     second.write(Fixture::request("/read/x", "a4"));
     BOOST_TEST(statusOf(second.readAnswer()) == 200);
 }
 
-BOOST_AUTO_TEST_CASE(WhenDescriptorsHaveRunOutCallersAtRestGiveTheirsBack)
+BOOST_AUTO_TEST_CASE(IdleCallersAreClosedWhenDescriptorsRunOut)
 {
     Fixture                                  setup(Fixture::echo, true, 10s);
-    std::vector<std::unique_ptr<TestCaller>> resting;
-    resting.reserve(10);
+    std::vector<std::unique_ptr<TestCaller>> idle;
+    idle.reserve(10);
     for (int i = 0; i < 10; ++i)
-        resting.push_back(std::make_unique<TestCaller>(setup.gateway->port()));
-    resting.back()->write(Fixture::request("/read/x", "a1"));
-    BOOST_TEST(statusOf(resting.back()->readAnswer()) == 200);
-    // This caller's loop takes three descriptors and its socket the last one, so none is left to accept it with.
+        idle.push_back(std::make_unique<TestCaller>(setup.gateway->port()));
+    idle.back()->write(Fixture::request("/read/x", "a1"));
+    BOOST_TEST(statusOf(idle.back()->readAnswer()) == 200);
+    // The late caller's event loop uses three descriptors and its socket the fourth, so none is left for the accept.
     const int next = ::dup(0);
     ::close(next);
-    const FewDescriptors few(static_cast<rlim_t>(next) + 4);
-    const auto           begin = std::chrono::steady_clock::now();
-    TestCaller           late(setup.gateway->port());
+    const DescriptorLimit lowered(static_cast<rlim_t>(next) + 4);
+    const auto            begin = std::chrono::steady_clock::now();
+    TestCaller            late(setup.gateway->port());
     late.write(Fixture::request("/read/x", "a2"));
     BOOST_TEST(statusOf(late.readAnswer()) == 200);
-    // Sooner than those at rest reach the end of the rest that they are allowed.
+    // Well before the idle callers reach their idle timeout.
     BOOST_TEST((std::chrono::steady_clock::now() - begin < 1s));
 }
 
