--- a/include/sailpath/gateway/Gateway.hpp
+++ b/include/sailpath/gateway/Gateway.hpp
@@ -48,23 +48,23 @@
     ///
     /// \param provedAt Called on the loop's thread; null when it never was
     ////////////////////////////////////////////////////////////
-    void watchProof(std::function<std::optional<core::Timestamp>()> provedAt);
+    void setConfirmedAtSource(std::function<std::optional<core::Timestamp>()> provedAt);
 
     ////////////////////////////////////////////////////////////
     /// \brief Say where to learn when the rest of the fleet could be heard last
     ///
     /// \param heardFleet Called on the loop's thread; null when it never was
     ////////////////////////////////////////////////////////////
-    void watchContact(std::function<std::optional<core::Timestamp>()> heardFleet);
+    void setFleetContactSource(std::function<std::optional<core::Timestamp>()> heardFleet);
 
     ////////////////////////////////////////////////////////////
     /// \brief Say who is to hear which instances failed here
     ///
     /// \param failed Called on the loop's thread with short hashes of their ids
     ////////////////////////////////////////////////////////////
-    void watchFailures(std::function<void(std::vector<std::uint32_t>)> failed);
+    void onServerFailures(std::function<void(std::vector<std::uint32_t>)> failed);
 
-    void hearFailures(std::span<const deployment::ServerFailure> failures); //!< Other nodes saw instances fail
+    void receiveServerFailures(std::span<const deployment::ServerFailure> failures); //!< Other nodes saw instances fail
 
     ////////////////////////////////////////////////////////////
     /// \brief Say who is to hear of servers that ended under requests here, and of requests that were quarantined
@@ -72,31 +72,31 @@
     /// \param news        Called on the loop's thread with what other nodes are to know
     /// \param quarantined Called on the loop's thread with each new or wider belief
     ////////////////////////////////////////////////////////////
-    void watchCrashes(std::function<void(deployment::CrashNews)>  news,
-                      std::function<void(deployment::Quarantine)> quarantined);
+    void onServerCrashes(std::function<void(deployment::CrashNews)>  news,
+                         std::function<void(deployment::Quarantine)> quarantined);
 
-    void hearCrashes(const deployment::CrashNews& news); //!< Other nodes saw servers end under requests
+    void receiveServerCrashes(const deployment::CrashNews& news); //!< Other nodes saw servers end under requests
 
     ////////////////////////////////////////////////////////////
     /// \brief Say who is to hear what limited servers said here and what was sent to them
     ///
     /// \param news Called on the loop's thread
     ////////////////////////////////////////////////////////////
-    void watchLimits(std::function<void(std::vector<deployment::LimitNews>)> news);
+    void onServerLimits(std::function<void(std::vector<deployment::LimitNews>)> news);
 
-    void hearLimits(std::span<const deployment::LimitNews> news); //!< The same of other nodes
+    void receiveServerLimits(std::span<const deployment::LimitNews> news); //!< The same of other nodes
 
-    void addMetrics(std::function<std::string()> further); //!< Text that the metrics page ends with
+    void setAdditionalMetrics(std::function<std::string()> further); //!< Text that the metrics page ends with
 
-    void leave();     //!< Planned stop: not ready, connections end at the next answer
-    void closeIdle(); //!< Planned stop: end connections at rest, take no new ones
+    void startDraining(); //!< Planned stop: not ready, connections end at the next answer
+    void closeIdle();     //!< Planned stop: end connections at rest, take no new ones
 
-    [[nodiscard]] std::size_t     unfinished() const;    //!< Requests not answered yet
-    [[nodiscard]] std::size_t     callers() const;       //!< Callers' connections
-    [[nodiscard]] const Counters& counters() const;      //!< Since the start
-    [[nodiscard]] std::uint16_t   port() const;          //!< Where callers connect
-    [[nodiscard]] std::uint16_t   readinessPort() const; //!< Where readiness is asked for
-    [[nodiscard]] std::uint16_t   metricsPort() const;   //!< Where metrics are asked for; 0 for nowhere
+    [[nodiscard]] std::size_t     unfinishedRequests() const; //!< Requests not answered yet
+    [[nodiscard]] std::size_t     callerConnections() const;  //!< Callers' connections
+    [[nodiscard]] const Counters& counters() const;           //!< Since the start
+    [[nodiscard]] std::uint16_t   port() const;               //!< Where callers connect
+    [[nodiscard]] std::uint16_t   readinessPort() const;      //!< Where readiness is asked for
+    [[nodiscard]] std::uint16_t   metricsPort() const;        //!< Where metrics are asked for; 0 for nowhere
 
 private:
     struct Impl;
--- a/src/programs/GatewayProgram.cpp
+++ b/src/programs/GatewayProgram.cpp
@@ -83,8 +83,9 @@
     gateway.readinessListen = settings.endpoint("readiness-listen");
     if (const auto metrics = settings.endpoints("metrics-listen"); !metrics.empty())
         gateway.metricsListen = metrics.front();
-    gateway.bufferedBytes = static_cast<std::uint64_t>(bufferShare * settings.number("memory-mb") * bytesPerMegabyte);
-    gateway.callers = settings.whole("descriptors") / callersShare;
+    gateway.maxBufferedBytes =
+        static_cast<std::uint64_t>(bufferShare * settings.number("memory-mb") * bytesPerMegabyte);
+    gateway.maxCallers = settings.whole("descriptors") / callersShare;
     gateway.balance.dataCentre = settings.text("data-centre");
     gateway.balance.retryRatio = settings.number("retry-ratio");
     gateway.balance.retryExtra = settings.number("retry-extra");
@@ -195,8 +196,8 @@
         m_begun = true;
         m_since = core::now();
         m_log.write(ports::Level::Info, "leaving",
-                    {{"unfinished", m_gateway.unfinished()}, {"callers", m_gateway.callers()}});
-        m_gateway.leave();
+                    {{"unfinished", m_gateway.unfinishedRequests()}, {"callers", m_gateway.callerConnections()}});
+        m_gateway.startDraining();
         wait(noticeTime);
     }
 
@@ -218,10 +219,10 @@
         const auto elapsed = core::now() - m_since;
         // What is left then are callers that have not sent a whole request.
         const bool patient = elapsed < noticeTime + lingerTime;
-        const bool done = m_gateway.unfinished() == 0 && (m_gateway.callers() == 0 || !patient);
+        const bool done = m_gateway.unfinishedRequests() == 0 && (m_gateway.callerConnections() == 0 || !patient);
         if (!done && elapsed < m_grace)
             return wait(stopCheck);
-        m_log.write(ports::Level::Info, "stopped", {{"unfinished", m_gateway.unfinished()}});
+        m_log.write(ports::Level::Info, "stopped", {{"unfinished", m_gateway.unfinishedRequests()}});
         m_context.stop();
     }
 
@@ -290,20 +291,23 @@
         [&](deployment::Declared declared)
         { asio::post(context, [&gateway, declared = std::move(declared)] { gateway.configure(declared); }); },
         log);
-    gateway.watchProof([&] { return fleet.provedAt(); });
-    gateway.watchContact([&] { return fleet.heardAt(); });
-    gateway.watchFailures([&](std::vector<std::uint32_t> servers) { fleet.serversFailed(std::move(servers)); });
+    gateway.setConfirmedAtSource([&] { return fleet.provedAt(); });
+    gateway.setFleetContactSource([&] { return fleet.heardAt(); });
+    gateway.onServerFailures([&](std::vector<std::uint32_t> servers) { fleet.serversFailed(std::move(servers)); });
     fleet.onFailures(
-        [&](std::vector<deployment::ServerFailure> failures)
-        { asio::post(context, [&gateway, failures = std::move(failures)] { gateway.hearFailures(failures); }); });
-    gateway.watchCrashes([&](deployment::CrashNews news) { fleet.crashed(std::move(news)); },
-                         [&](const deployment::Quarantine& quarantine) { fleet.quarantined(quarantine); });
-    fleet.onCrashes([&](deployment::CrashNews news)
-                    { asio::post(context, [&gateway, news = std::move(news)] { gateway.hearCrashes(news); }); });
-    gateway.watchLimits([&](std::vector<deployment::LimitNews> news) { fleet.limited(std::move(news)); });
+        [&](std::vector<deployment::ServerFailure> failures) {
+            asio::post(context,
+                       [&gateway, failures = std::move(failures)] { gateway.receiveServerFailures(failures); });
+        });
+    gateway.onServerCrashes([&](deployment::CrashNews news) { fleet.crashed(std::move(news)); },
+                            [&](const deployment::Quarantine& quarantine) { fleet.quarantined(quarantine); });
+    fleet.onCrashes(
+        [&](deployment::CrashNews news)
+        { asio::post(context, [&gateway, news = std::move(news)] { gateway.receiveServerCrashes(news); }); });
+    gateway.onServerLimits([&](std::vector<deployment::LimitNews> news) { fleet.limited(std::move(news)); });
     fleet.onLimits([&](std::vector<deployment::LimitNews> news)
-                   { asio::post(context, [&gateway, news = std::move(news)] { gateway.hearLimits(news); }); });
-    gateway.addMetrics([&] { return controlMetrics(fleet.status(), log.leftOut()); });
+                   { asio::post(context, [&gateway, news = std::move(news)] { gateway.receiveServerLimits(news); }); });
+    gateway.setAdditionalMetrics([&] { return controlMetrics(fleet.status(), log.leftOut()); });
     log.write(ports::Level::Info, "started", {{"dataCentre", settings.text("data-centre")}, {"port", gateway.port()}});
     context.run();
     endNow();
--- a/src/sailpath/gateway/Gateway.cpp
+++ b/src/sailpath/gateway/Gateway.cpp
@@ -44,7 +44,7 @@
 acceptTimer(loop),
 dueTimer(loop),
 sweepTimer(loop),
-bodies(std::make_shared<priv::BodyMemory>(static_cast<std::int64_t>(settings.bufferedBytes))),
+bodies(std::make_shared<priv::BodyMemory>(static_cast<std::int64_t>(settings.maxBufferedBytes))),
 fieldWatch(names),
 readiness(loop, settings.readinessListen, {{names.readinessPath, [this] {
                                                 return priv::StatusAnswer{ready && !isLeaving ? 200U : 503U, {}};
@@ -73,7 +73,7 @@
                                                        }}});
     // Until the operator's limits are known, only memory bounds what a caller sends.
     callerLimits.headBytes = mostEarlyHead;
-    callerLimits.bodyBytes = settings.bufferedBytes;
+    callerLimits.bodyBytes = settings.maxBufferedBytes;
     accept();
     scheduleSweep();
 }
@@ -97,7 +97,7 @@
 void Gateway::Impl::admitCaller(asio::ip::tcp::socket socket)
 {
     // A new caller has more need of a place than one that rests.
-    if (callers.size() >= settings.callers && !closeLongestResting())
+    if (callers.size() >= settings.maxCallers && !closeLongestResting())
         return;
     asio::error_code ignored;
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -118,7 +118,7 @@
     }
     if (!longest)
         return false;
-    ++counters.restingClosed;
+    ++counters.idleCallersClosed;
     longest->closeIfIdle();
     return true;
 }
@@ -256,13 +256,13 @@
         text.append(" ").append(std::to_string(value)).append("\n");
     };
     add("attempts_total", "counter", counters.attempts);
-    add("further_attempts_total", "counter", counters.secondSends);
+    add("further_attempts_total", "counter", counters.furtherAttempts);
     add("probes_total", "counter", counters.probes);
-    add("callers_left_total", "counter", counters.callersLeft);
-    add("refused_unread_total", "counter", counters.refusedUnread);
+    add("callers_left_total", "counter", counters.callersDisconnected);
+    add("refused_unread_total", "counter", counters.refusedBeforeRead);
     add("server_connections_opened_total", "counter", servers.opened());
-    add("resting_callers_closed_total", "counter", counters.restingClosed);
-    add("quarantined_requests_refused_total", "counter", counters.quarantined);
+    add("resting_callers_closed_total", "counter", counters.idleCallersClosed);
+    add("quarantined_requests_refused_total", "counter", counters.quarantinedRefused);
     add("quarantines", "gauge", balancer.crashes().list(core::now()).size());
     add("servers_limited", "gauge", balancer.limits(core::now()).size());
     const auto notices = balancer.notices(core::now());
@@ -270,7 +270,7 @@
         std::count_if(notices.begin(), notices.end(), [](const auto& item) { return item.leaving; }));
     add("servers_backing_off", "gauge",
         std::count_if(notices.begin(), notices.end(), [](const auto& item) { return item.backOffLeft.count() > 0; }));
-    add("attempts_against_notice_total", "counter", counters.againstNotice);
+    add("attempts_against_notice_total", "counter", counters.attemptsAgainstNotice);
     add("callers", "gauge", callers.size());
     add("requests_unfinished", "gauge", exchanges.size());
     add("body_bytes_held", "gauge", bodies->used());
@@ -312,60 +312,60 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::watchProof(std::function<std::optional<core::Timestamp>()> provedAt)
+void Gateway::setConfirmedAtSource(std::function<std::optional<core::Timestamp>()> provedAt)
 {
     m_impl->provedAt = std::move(provedAt);
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::watchContact(std::function<std::optional<core::Timestamp>()> heardFleet)
+void Gateway::setFleetContactSource(std::function<std::optional<core::Timestamp>()> heardFleet)
 {
     m_impl->heardFleet = std::move(heardFleet);
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::watchFailures(std::function<void(std::vector<std::uint32_t>)> failed)
+void Gateway::onServerFailures(std::function<void(std::vector<std::uint32_t>)> failed)
 {
     m_impl->failed = std::move(failed);
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::hearFailures(std::span<const deployment::ServerFailure> failures)
+void Gateway::receiveServerFailures(std::span<const deployment::ServerFailure> failures)
 {
     m_impl->balancer.heardFailures(failures, core::now());
     m_impl->logBeliefs();
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::watchCrashes(std::function<void(deployment::CrashNews)>  news,
-                           std::function<void(deployment::Quarantine)> quarantined)
+void Gateway::onServerCrashes(std::function<void(deployment::CrashNews)>  news,
+                              std::function<void(deployment::Quarantine)> quarantined)
 {
     m_impl->crashed = std::move(news);
     m_impl->quarantined = std::move(quarantined);
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::hearCrashes(const deployment::CrashNews& news)
+void Gateway::receiveServerCrashes(const deployment::CrashNews& news)
 {
     m_impl->balancer.heardCrashes(news, core::now());
     m_impl->logBeliefs();
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::watchLimits(std::function<void(std::vector<deployment::LimitNews>)> news)
+void Gateway::onServerLimits(std::function<void(std::vector<deployment::LimitNews>)> news)
 {
     m_impl->limited = std::move(news);
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::hearLimits(std::span<const deployment::LimitNews> news)
+void Gateway::receiveServerLimits(std::span<const deployment::LimitNews> news)
 {
     m_impl->balancer.heardLimits(news, core::now());
     m_impl->logBeliefs();
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::addMetrics(std::function<std::string()> further)
+void Gateway::setAdditionalMetrics(std::function<std::string()> further)
 {
     m_impl->furtherMetrics = std::move(further);
 }
@@ -377,7 +377,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::leave()
+void Gateway::startDraining()
 {
     m_impl->isLeaving = true;
 }
@@ -393,13 +393,13 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t Gateway::unfinished() const
+std::size_t Gateway::unfinishedRequests() const
 {
     return m_impl->exchanges.size();
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t Gateway::callers() const
+std::size_t Gateway::callerConnections() const
 {
     return m_impl->callers.size();
 }
--- a/src/sailpath/gateway/GatewayRequests.cpp
+++ b/src/sailpath/gateway/GatewayRequests.cpp
@@ -106,7 +106,7 @@
 ////////////////////////////////////////////////////////////
 void Gateway::Impl::callerLeft(balance::Ticket ticket)
 {
-    ++counters.callersLeft;
+    ++counters.callersDisconnected;
     balancer.callerLeft(ticket, core::now());
     carryOut();
     const auto found = exchanges.find(ticket);
@@ -120,7 +120,7 @@
 ////////////////////////////////////////////////////////////
 void Gateway::Impl::refusedUnread(const http::Head* head, unsigned status, std::string_view reason)
 {
-    ++counters.refusedUnread;
+    ++counters.refusedBeforeRead;
     events.write(ports::Level::Info, "request-refused",
                  {{"request", head != nullptr ? head->field(dialect.requestId) : std::string_view()},
                   {"status", status},
@@ -343,8 +343,8 @@
         return;
     Exchange& exchange = found->second;
     ++counters.attempts;
-    counters.secondSends += step.attempt > 1 ? 1 : 0;
-    counters.againstNotice += step.leavingFor.count() > 0 || step.backOffLeft.count() > 0 ? 1 : 0;
+    counters.furtherAttempts += step.attempt > 1 ? 1 : 0;
+    counters.attemptsAgainstNotice += step.leavingFor.count() > 0 || step.backOffLeft.count() > 0 ? 1 : 0;
     exchange.note(step, core::now());
     const auto connection = servers.take(step.instance, !step.repeatable);
     exchange.sends[step.attempt] = connection;
@@ -451,7 +451,7 @@
 ////////////////////////////////////////////////////////////
 void Gateway::Impl::noteQuarantine(Exchange& exchange)
 {
-    ++counters.quarantined;
+    ++counters.quarantinedRefused;
     const auto  at = core::now();
     const auto* quarantine = balancer.crashes().find(exchange.identity(), at);
     if (quarantine == nullptr)
--- a/src/sailpath/gateway/ServerConnection.cpp
+++ b/src/sailpath/gateway/ServerConnection.cpp
@@ -64,7 +64,7 @@
 void ServerConnection::startReader()
 {
     const auto kind = m_request.headOnly ? http::MessageKind::AnswerNoBody : http::MessageKind::Answer;
-    m_reader = std::make_unique<http::MessageReader>(kind, headLimit, m_settings.answerBytes);
+    m_reader = std::make_unique<http::MessageReader>(kind, headLimit, m_settings.maxAnswerBytes);
     m_headHeard = false;
 }
 
@@ -77,7 +77,7 @@
     m_socket.open(asio::ip::tcp::v4(), ignored);
     m_socket.set_option(asio::ip::tcp::no_delay(true), ignored);
     const asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT> silence(
-        static_cast<int>(m_settings.silence.count() / 1000));
+        static_cast<int>(m_settings.unacknowledgedTimeout.count() / 1000));
     m_socket.set_option(silence, ignored);
     auto self = shared_from_this();
     m_timer.expires_after(m_settings.connectTimeout);
--- a/src/sailpath/gateway/ServerConnections.cpp
+++ b/src/sailpath/gateway/ServerConnections.cpp
@@ -25,7 +25,7 @@
     for (const auto& connection : list)
     {
         const core::Duration limit =
-            proven ? std::min(m_settings.provenFor, restLimit(*connection)) : restLimit(*connection);
+            proven ? std::min(m_settings.maxIdleBeforeNonRepeatable, restLimit(*connection)) : restLimit(*connection);
         const bool usable =
             connection->idle() && connection->rest() < limit && deployment::sameLife(connection->instance(), *instance);
         if (usable && (!best || connection->rest() < best->rest()))
@@ -56,7 +56,7 @@
 core::Duration ServerConnections::restLimit(const ServerConnection& connection) const
 {
     const core::Duration told = connection.restLimit() * 6 / 10;
-    return told.count() > 0 ? std::min(told, m_settings.serverIdle) : m_settings.serverIdle;
+    return told.count() > 0 ? std::min(told, m_settings.maxServerIdle) : m_settings.maxServerIdle;
 }
 
 ////////////////////////////////////////////////////////////
--- a/test/gateway/AnswerHead.test.cpp
+++ b/test/gateway/AnswerHead.test.cpp
@@ -16,7 +16,7 @@
 ////////////////////////////////////////////////////////////
 gateway::Dialect dialectWithLoad()
 {
-    gateway::Dialect dialect = support::dialectOf();
+    gateway::Dialect dialect = support::testDialect();
     dialect.parseLoad = [](std::string_view text) {
         return text.empty() ? std::nullopt : std::optional(balance::Load{7, 0, 8, 1});
     };
--- a/test/gateway/Evacuation.test.cpp
+++ b/test/gateway/Evacuation.test.cpp
@@ -29,7 +29,7 @@
     PatientFixture setup(
         [](const std::string& request)
         {
-            Script script{PatientFixture::whole(fieldOf(request, "X-Id"), "done")};
+            Script script{PatientFixture::okAnswer(fieldOf(request, "X-Id"), "done")};
             script.delay = request.find("/read/slow") != std::string::npos ? 300ms : 0ms;
             return script;
         });
--- a/test/gateway/Gateway.test.cpp
+++ b/test/gateway/Gateway.test.cpp
@@ -41,7 +41,7 @@
 BOOST_AUTO_TEST_CASE(AnIdFollowsARequestThroughBothLogs)
 {
     Fixture    setup([](const std::string& request)
-                  { return Script{Fixture::whole(fieldOf(request, "X-Id"), "x").replace(9, 3, "500")}; });
+                  { return Script{Fixture::okAnswer(fieldOf(request, "X-Id"), "x").replace(9, 3, "500")}; });
     TestCaller caller(setup.gateway->port());
     caller.write(Fixture::request("/pay/x", "trace-me"));
     BOOST_TEST(statusOf(caller.readAnswer()) == 500);
@@ -66,7 +66,7 @@
 {
     Fixture setup(
         [](const std::string& request)
-        { return Script{Fixture::whole("other", "wrong") + Fixture::whole(fieldOf(request, "X-Id"), "right")}; });
+        { return Script{Fixture::okAnswer("other", "wrong") + Fixture::okAnswer(fieldOf(request, "X-Id"), "right")}; });
     TestCaller caller(setup.gateway->port());
     caller.write(Fixture::request("/pay/x", "a1"));
     BOOST_TEST(caller.readAnswer().ends_with("right"));
@@ -75,7 +75,7 @@
 BOOST_AUTO_TEST_CASE(AnExtraAnswerNeverReachesTheNextCaller)
 {
     Fixture    setup([](const std::string& request)
-                  { return Script{Fixture::echo(request).bytes + Fixture::whole("extra", "extra")}; });
+                  { return Script{Fixture::echo(request).bytes + Fixture::okAnswer("extra", "extra")}; });
     TestCaller caller(setup.gateway->port());
     for (const std::string id : {"a1", "a2", "a3"})
     {
@@ -289,7 +289,7 @@
     caller.write(Fixture::request("/pay/x", "a1"));
     while (setup.server.requests().empty())
         std::this_thread::sleep_for(1ms);
-    setup.onLoop([&] { setup.gateway->leave(); });
+    setup.onLoop([&] { setup.gateway->startDraining(); });
     TestCaller after(setup.gateway->readinessPort());
     after.write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
     BOOST_TEST(statusOf(after.readAnswer()) == 503);
@@ -359,8 +359,9 @@
     for (const int status : {302, 400, 404, 409, 413})
     {
         PatientFixture setup(
-            [status](const std::string& request)
-            { return Script{Fixture::whole(fieldOf(request, "X-Id"), "no").replace(9, 3, std::to_string(status))}; });
+            [status](const std::string& request) {
+                return Script{Fixture::okAnswer(fieldOf(request, "X-Id"), "no").replace(9, 3, std::to_string(status))};
+            });
         TestCaller caller(setup.gateway->port());
         caller.write(Fixture::request("/pay/x", "a1"));
         const std::string answer = caller.readAnswer();
--- a/test/gateway/Keys.test.cpp
+++ b/test/gateway/Keys.test.cpp
@@ -13,7 +13,7 @@
 ////////////////////////////////////////////////////////////
 support::Script tellHead(const std::string& request)
 {
-    return {Fixture::whole(fieldOf(request, "X-Id"), request)};
+    return {Fixture::okAnswer(fieldOf(request, "X-Id"), request)};
 }
 
 ////////////////////////////////////////////////////////////
--- a/test/gateway/Pipelining.test.cpp
+++ b/test/gateway/Pipelining.test.cpp
@@ -131,7 +131,7 @@
     Fixture           setup(
         [&](const std::string& request)
         {
-            Script script{Fixture::whole(fieldOf(request, "X-Id"), body)};
+            Script script{Fixture::okAnswer(fieldOf(request, "X-Id"), body)};
             script.delay = 1600ms;
             return script;
         },
@@ -186,7 +186,7 @@
         std::this_thread::sleep_for(1ms);
     BOOST_TEST(setup.server.hangUps() == 3U);
     BOOST_TEST((std::chrono::steady_clock::now() - left < 500ms));
-    setup.onLoop([&] { BOOST_TEST(setup.gateway->unfinished() == 0U); });
+    setup.onLoop([&] { BOOST_TEST(setup.gateway->unfinishedRequests() == 0U); });
 }
 
 BOOST_AUTO_TEST_CASE(ACallerThatLeavesWithMoreSentThanIsReadCancelsThemToo)
@@ -234,7 +234,7 @@
     TestCaller   caller(setup.gateway->port());
     caller.write(reads(0, 2));
     setup.waitForRequests(2);
-    setup.onLoop([&] { setup.gateway->leave(); });
+    setup.onLoop([&] { setup.gateway->startDraining(); });
     caller.write(reads(2, 3) + Fixture::request("/pay/x", "p3"));
     const std::string first = caller.readAnswer();
     BOOST_TEST(first.ends_with("for a0"));
@@ -334,7 +334,7 @@
     caller.write(reads(0, 1000));
     std::this_thread::sleep_for(500ms);
     BOOST_TEST(setup.server.requests().size() <= mostSideBySide);
-    setup.onLoop([&] { BOOST_TEST(setup.gateway->unfinished() <= mostSideBySide); });
+    setup.onLoop([&] { BOOST_TEST(setup.gateway->unfinishedRequests() <= mostSideBySide); });
     for (int i = 0; i < 1000; ++i)
         BOOST_REQUIRE(caller.readAnswer().ends_with("for a" + std::to_string(i)));
 }
@@ -346,7 +346,7 @@
     RoomyFixture      setup(
         [large](const std::string& request)
         {
-            Script script{Fixture::whole(fieldOf(request, "X-Id"), large)};
+            Script script{Fixture::okAnswer(fieldOf(request, "X-Id"), large)};
             script.delay = fieldOf(request, "X-Id") == "a0" ? 1000ms : 0ms;
             return script;
         });
--- a/test/gateway/ServerLimits.test.cpp
+++ b/test/gateway/ServerLimits.test.cpp
@@ -23,7 +23,7 @@
         const std::string                 id = fieldOf(request, "X-Id");
         if (fails)
             return {"HTTP/1.1 500 Oops\r\nX-Id: " + id + "\r\nX-Mark: m\r\n" + lines + "Content-Length: 0\r\n\r\n"};
-        return {Fixture::whole(id, "body", lines)};
+        return {Fixture::okAnswer(id, "body", lines)};
     }
 
     void ask(const std::string& more, bool failing = false)
--- a/test/support/GatewayFixture.hpp
+++ b/test/support/GatewayFixture.hpp
@@ -43,7 +43,7 @@
 };
 
 ////////////////////////////////////////////////////////////
-inline gateway::Dialect dialectOf()
+inline gateway::Dialect testDialect()
 {
     gateway::Dialect dialect;
     dialect.requestId = "X-Id";
@@ -74,7 +74,7 @@
 struct Fixture
 {
     explicit Fixture(ScriptedServer::Answer answer = echo, bool configured = true,
-                     core::Duration longest = core::Duration(700ms), std::size_t mostCallers = 3000) :
+                     core::Duration longest = core::Duration(700ms), std::size_t callerLimit = 3000) :
     server(std::move(answer)),
     timeout(longest)
     {
@@ -83,8 +83,8 @@
         settings.readinessListen = {"127.0.0.1", 0};
         settings.balance.dataCentre = "dc";
         settings.balance.retryExtra = 100;
-        settings.bufferedBytes = 140'000;
-        settings.callers = mostCallers;
+        settings.maxBufferedBytes = 140'000;
+        settings.maxCallers = callerLimit;
         gateway.emplace(context, settings, dialect, log);
         if (configured)
             configure();
@@ -146,7 +146,7 @@
                "\r\n";
     }
 
-    static std::string whole(const std::string& id, const std::string& body, const std::string& more = {})
+    static std::string okAnswer(const std::string& id, const std::string& body, const std::string& more = {})
     {
         return "HTTP/1.1 200 OK\r\nX-Id: " + id + "\r\nX-Mark: m\r\n" + more +
                "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -154,11 +154,11 @@
 
     static Script echo(const std::string& request)
     {
-        return {whole(fieldOf(request, "X-Id"), "for " + fieldOf(request, "X-Id"))};
+        return {okAnswer(fieldOf(request, "X-Id"), "for " + fieldOf(request, "X-Id"))};
     }
 
     TextLog                         log;
-    gateway::Dialect                dialect{dialectOf()};
+    gateway::Dialect                dialect{testDialect()};
     ScriptedServer                  server;
     core::Duration                  timeout;
     unsigned                        slots{3}; //!< Of the server
