--- a/include/sailpath/gateway/Dialect.hpp
+++ b/include/sailpath/gateway/Dialect.hpp
@@ -10,30 +10,33 @@
 namespace sailpath::gateway
 {
 ////////////////////////////////////////////////////////////
-/// \brief Names and forms that callers, servers and the gateway agree on
+/// \brief Header names and value formats shared by callers, servers and the gateway
 ///
-/// Filled by the folder that knows the surroundings; decides nothing.
+/// Filled in by the code of the deployment platform; holds no logic of its own.
 ////////////////////////////////////////////////////////////
 struct Dialect
 {
-    std::string requestId;           //!< Header: id of one sending of a request
-    std::string deadlineMs;          //!< Header: milliseconds that the sender waits
-    std::string targetInstance;      //!< Header: the only instance that may run the request
-    std::string instanceId;          //!< Header: the instance that answers a probe
-    std::string signature;           //!< Header: the server's mark on its answer
-    std::string notExecuted;         //!< Header: the server did not run the request
-    std::string load;                //!< Header: load report
-    std::string key;                 //!< Header: key of the caller's workspace; no server is told it
-    std::string workspace;           //!< Header: workspace that a request is sent for, told to servers
-    std::string warmUpMs;            //!< Header: how many milliseconds longer the instance that answers a probe is cold
-    std::vector<std::string> limits; //!< Headers, spelled either way: requests a second that the server takes from all
-                                     //!< nodes together
-    std::vector<std::string> leaving; //!< Headers, spelled either way: the server shuts down and wants no new requests
-    std::string              readinessPath; //!< Path that asks whether this node takes new connections
+    std::string requestId;      //!< Header: request id, new each time that a caller sends a request
+    std::string deadlineMs;     //!< Header: milliseconds that the sender waits for the answer
+    std::string targetInstance; //!< Header: the only instance that may run the request
+    std::string instanceId;     //!< Header: the instance that sent the answer
+    std::string signature;      //!< Header: present on answers that come from a server
+    std::string notExecuted;    //!< Header: the server did not run the request
+    std::string load;           //!< Header: load report
+    std::string key;            //!< Header: key of the caller's workspace; never passed to servers
+    std::string workspace;      //!< Header: workspace of the request, set for servers
+    std::string warmUpMs;       //!< Header: remaining warm-up time in ms of the instance that answers a probe
+    std::vector<std::string>
+        limits; //!< Accepted headers: requests per second that the server takes from all nodes together
+    std::vector<std::string> leaving;       //!< Accepted headers: the server shuts down and takes no new requests
+    std::string              readinessPath; //!< Path of the page that tells whether this node takes new connections
 
-    std::optional<balance::Load> (*parseLoad)(std::string_view text){nullptr}; //!< Reads a load report
-    std::optional<double> (*parseLimit)(std::string_view text){nullptr};       //!< Reads a limit; null: unreadable
-    bool (*parseLeaving)(std::string_view text){nullptr};                      //!< Whether a value says so
+    std::optional<balance::Load> (*parseLoad)(std::string_view text){
+        nullptr}; //!< Parse a load report; null if malformed
+    std::optional<double> (*parseLimit)(std::string_view text){
+        nullptr}; //!< Parse a limit in requests per second; null if malformed
+    bool (*parseLeaving)(std::string_view text){
+        nullptr}; //!< Whether a value of a `leaving` header announces the shutdown
 };
 
 } // namespace sailpath::gateway
--- a/include/sailpath/gateway/Gateway.hpp
+++ b/include/sailpath/gateway/Gateway.hpp
@@ -20,20 +20,21 @@
 namespace sailpath::gateway
 {
 ////////////////////////////////////////////////////////////
-/// \brief The data path: callers' connections, servers' connections, decisions
+/// \brief Data path: caller connections, server connections and balancing
 ///
-/// Runs on one event loop, which serves all connections; a slow caller
-/// holds memory for what it has sent and nothing else.
+/// Runs on one event loop that serves all connections. A slow caller uses
+/// memory for the bytes it has sent and no other resource.
 ////////////////////////////////////////////////////////////
 class Gateway
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Listen and begin to serve once the loop runs
+    /// \brief Listen, and serve requests while the event loop runs
     ///
-    /// \param context Loop; all calls come from its thread
-    /// \param dialect Outlives the gateway
-    /// \param log     Outlives the gateway
+    /// \param context  Event loop; all functions must be called on its thread
+    /// \param settings Settings of the data path
+    /// \param dialect  Header names and formats; must outlive the gateway
+    /// \param log      Event log; must outlive the gateway
     ////////////////////////////////////////////////////////////
     Gateway(asio::io_context& context, GatewaySettings settings, const Dialect& dialect, ports::EventLog& log);
 
@@ -41,66 +42,71 @@
     Gateway(const Gateway&) = delete;
     Gateway& operator=(const Gateway&) = delete;
 
-    void configure(const deployment::Declared& declared); //!< Put what is declared in force
+    void configure(const deployment::Declared& declared); //!< Apply a new configuration and list of servers
 
     ////////////////////////////////////////////////////////////
-    /// \brief Say where to learn when the configuration in force was last known to be the operators'
+    /// \brief Set the source of the time at which the configuration in force was last confirmed
     ///
-    /// \param provedAt Called on the loop's thread; null when it never was
+    /// The configuration is confirmed while it is known to be what the operators declare.
+    ///
+    /// \param confirmedAt Called on the loop's thread; returns null if the configuration was never confirmed
     ////////////////////////////////////////////////////////////
-    void setConfirmedAtSource(std::function<std::optional<core::Timestamp>()> provedAt);
+    void setConfirmedAtSource(std::function<std::optional<core::Timestamp>()> confirmedAt);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Say where to learn when the rest of the fleet could be heard last
+    /// \brief Set the source of the time of the last contact with other nodes
     ///
-    /// \param heardFleet Called on the loop's thread; null when it never was
+    /// \param lastContact Called on the loop's thread; returns null if there was no contact yet
     ////////////////////////////////////////////////////////////
-    void setFleetContactSource(std::function<std::optional<core::Timestamp>()> heardFleet);
+    void setFleetContactSource(std::function<std::optional<core::Timestamp>()> lastContact);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Say who is to hear which instances failed here
+    /// \brief Set the callback for instances that failed at this node
     ///
-    /// \param failed Called on the loop's thread with short hashes of their ids
+    /// \param handler Called on the loop's thread with short hashes of the instance ids
     ////////////////////////////////////////////////////////////
-    void onServerFailures(std::function<void(std::vector<std::uint32_t>)> failed);
+    void onServerFailures(std::function<void(std::vector<std::uint32_t>)> handler);
 
-    void receiveServerFailures(std::span<const deployment::ServerFailure> failures); //!< Other nodes saw instances fail
+    void receiveServerFailures(
+        std::span<const deployment::ServerFailure> failures); //!< Process server failures seen by other nodes
 
     ////////////////////////////////////////////////////////////
-    /// \brief Say who is to hear of servers that ended under requests here, and of requests that were quarantined
+    /// \brief Set the callbacks for servers that crashed while running requests at this node, and for quarantines
     ///
-    /// \param news        Called on the loop's thread with what other nodes are to know
-    /// \param quarantined Called on the loop's thread with each new or wider belief
+    /// \param newsHandler       Called on the loop's thread with the news for other nodes
+    /// \param quarantineHandler Called on the loop's thread with each new, widened or withdrawn quarantine
     ////////////////////////////////////////////////////////////
-    void onServerCrashes(std::function<void(deployment::CrashNews)>  news,
-                         std::function<void(deployment::Quarantine)> quarantined);
+    void onServerCrashes(std::function<void(deployment::CrashNews)>  newsHandler,
+                         std::function<void(deployment::Quarantine)> quarantineHandler);
 
-    void receiveServerCrashes(const deployment::CrashNews& news); //!< Other nodes saw servers end under requests
+    void receiveServerCrashes(const deployment::CrashNews& news); //!< Process server crashes seen by other nodes
 
     ////////////////////////////////////////////////////////////
-    /// \brief Say who is to hear what limited servers said here and what was sent to them
+    /// \brief Set the callback for limits that servers announced to this node, and the requests sent to such servers
     ///
-    /// \param news Called on the loop's thread
+    /// \param handler Called on the loop's thread
     ////////////////////////////////////////////////////////////
-    void onServerLimits(std::function<void(std::vector<deployment::LimitNews>)> news);
+    void onServerLimits(std::function<void(std::vector<deployment::LimitNews>)> handler);
 
-    void receiveServerLimits(std::span<const deployment::LimitNews> news); //!< The same of other nodes
+    void receiveServerLimits(
+        std::span<const deployment::LimitNews> news); //!< Process server limits and request counts from other nodes
 
-    void setAdditionalMetrics(std::function<std::string()> further); //!< Text that the metrics page ends with
+    void setAdditionalMetrics(
+        std::function<std::string()> generator); //!< Set the generator of text that is appended to the metrics page
 
-    void startDraining(); //!< Planned stop: not ready, connections end at the next answer
-    void closeIdle();     //!< Planned stop: end connections at rest, take no new ones
+    void startDraining(); //!< Begin a planned stop: report not ready and close connections with their next answer
+    void closeIdle();     //!< Continue a planned stop: stop listening and close idle caller connections
 
-    [[nodiscard]] std::size_t     unfinishedRequests() const; //!< Requests not answered yet
-    [[nodiscard]] std::size_t     callerConnections() const;  //!< Callers' connections
-    [[nodiscard]] const Counters& counters() const;           //!< Since the start
-    [[nodiscard]] std::uint16_t   port() const;               //!< Where callers connect
-    [[nodiscard]] std::uint16_t   readinessPort() const;      //!< Where readiness is asked for
-    [[nodiscard]] std::uint16_t   metricsPort() const;        //!< Where metrics are asked for; 0 for nowhere
+    [[nodiscard]] std::size_t     unfinishedRequests() const; //!< Number of requests without an answer
+    [[nodiscard]] std::size_t     callerConnections() const;  //!< Number of open caller connections
+    [[nodiscard]] const Counters& counters() const;           //!< Counters since the start of the process
+    [[nodiscard]] std::uint16_t   port() const;               //!< Port that callers connect to
+    [[nodiscard]] std::uint16_t   readinessPort() const;      //!< Port of the readiness page
+    [[nodiscard]] std::uint16_t   metricsPort() const;        //!< Port of the metrics pages; 0 when not served
 
 private:
     struct Impl;
-    std::unique_ptr<Impl> m_impl; //!< Connections and decisions
+    std::unique_ptr<Impl> m_impl; //!< Implementation
 };
 
 } // namespace sailpath::gateway
--- a/include/sailpath/gateway/GatewaySettings.hpp
+++ b/include/sailpath/gateway/GatewaySettings.hpp
@@ -14,19 +14,19 @@
 ////////////////////////////////////////////////////////////
 struct GatewaySettings
 {
-    adapters::settings::Endpoint                listen;            //!< Where callers connect
-    adapters::settings::Endpoint                readinessListen;   //!< Where readiness is asked for
-    std::optional<adapters::settings::Endpoint> metricsListen;     //!< Where metrics are asked for
-    core::Duration connectTimeout{std::chrono::milliseconds{300}}; //!< For a server's connection to come up
+    adapters::settings::Endpoint                listen;          //!< Address that callers connect to
+    adapters::settings::Endpoint                readinessListen; //!< Address of the readiness page
+    std::optional<adapters::settings::Endpoint> metricsListen; //!< Address of the metrics pages; not served when empty
+    core::Duration connectTimeout{std::chrono::milliseconds{300}}; //!< Time to establish a connection to a server
     core::Duration unacknowledgedTimeout{
-        std::chrono::milliseconds{2500}};                  //!< Unacknowledged bytes until a connection is given up
-    core::Duration maxServerIdle{std::chrono::seconds{6}}; //!< Rest of a server's connection until it is closed
+        std::chrono::milliseconds{2500}};                  //!< TCP user timeout of connections to servers
+    core::Duration maxServerIdle{std::chrono::seconds{6}}; //!< Idle time until a server connection is closed
     core::Duration maxIdleBeforeNonRepeatable{
-        std::chrono::milliseconds{1500}}; //!< Rest after which what may not be repeated gets a new connection
-    std::uint64_t     maxAnswerBytes{std::uint64_t{16} << 20U};   //!< Largest answer
-    std::uint64_t     maxBufferedBytes{std::uint64_t{64} << 20U}; //!< Request bodies held at once, all callers together
-    std::size_t       maxCallers{3000};                           //!< Callers' connections kept at once
-    balance::Settings balance;                                    //!< Of the decisions
+        std::chrono::milliseconds{1500}}; //!< Longest idle time of a connection that may carry a non-repeatable request
+    std::uint64_t     maxAnswerBytes{std::uint64_t{16} << 20U};   //!< Largest body of a server's answer
+    std::uint64_t     maxBufferedBytes{std::uint64_t{64} << 20U}; //!< Request bodies in memory, over all callers
+    std::size_t       maxCallers{3000};                           //!< Open connections of callers
+    balance::Settings balance;                                    //!< Settings of the balancer
 };
 
 } // namespace sailpath::gateway
--- a/src/sailpath/gateway/Exchange.cpp
+++ b/src/sailpath/gateway/Exchange.cpp
@@ -29,10 +29,10 @@
 } // namespace
 
 ////////////////////////////////////////////////////////////
-void Exchange::take(CallerRequest request, const Dialect& dialect)
+void Exchange::assign(CallerRequest request, const Dialect& dialect)
 {
     const http::Head& head = request.head;
-    since = request.since;
+    firstByteAt = request.since;
     id = head.field(dialect.requestId);
     headOnly = head.method == "HEAD";
     startLine = head.method + " " + head.target + " HTTP/1.1\r\n";
@@ -46,20 +46,20 @@
                               http::sameName(field.name, dialect.key) ||
                               http::sameName(field.name, dialect.workspace) || http::sameName(field.name, "Expect");
         if (!replaced && !http::concernsConnection(field.name, connection))
-            fields.append(field.name).append(": ").append(field.value).append("\r\n");
+            headerFields.append(field.name).append(": ").append(field.value).append("\r\n");
     }
 }
 
 ////////////////////////////////////////////////////////////
-Send Exchange::request(const deployment::Instance& instance, core::Duration left, const Dialect& dialect) const
+Send Exchange::buildRequest(const deployment::Instance& instance, core::Duration left, const Dialect& dialect) const
 {
     const auto milliseconds =
         std::max<std::int64_t>(1, std::chrono::duration_cast<std::chrono::milliseconds>(left).count());
     Send send;
     send.id = id;
     send.headOnly = headOnly;
-    send.bytes.reserve(startLine.size() + fields.size() + body.size() + 128);
-    send.bytes.append(startLine).append(fields);
+    send.bytes.reserve(startLine.size() + headerFields.size() + body.size() + 128);
+    send.bytes.append(startLine).append(headerFields);
     send.bytes.append(dialect.deadlineMs).append(": ").append(std::to_string(milliseconds)).append("\r\n");
     send.bytes.append(dialect.targetInstance).append(": ").append(instance.id).append("\r\n");
     if (!workspace.empty())
@@ -82,55 +82,56 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Exchange::note(const balance::Step& step, core::Timestamp now)
+void Exchange::recordAttempt(const balance::Step& step, core::Timestamp now)
 {
     ++attempts;
     workspace = step.workspace;
     decidedAt = decidedAt.value_or(now);
-    trying = step.trying;
-    if (!trail.empty())
-        trail += ',';
-    trail += std::to_string(step.attempt) + ":" + step.instance->id + "@" +
-             std::to_string(static_cast<int>(core::toMilliseconds(now - since))) +
-             "ms/expected=" + std::to_string(static_cast<int>(step.expectedMs)) +
-             "ms/report=" + std::to_string(static_cast<int>(step.reportAgeMs)) + "ms";
+    triedFor = step.trying;
+    if (!attemptLog.empty())
+        attemptLog += ',';
+    attemptLog += std::to_string(step.attempt) + ":" + step.instance->id + "@" +
+                  std::to_string(static_cast<int>(core::toMilliseconds(now - firstByteAt))) +
+                  "ms/expected=" + std::to_string(static_cast<int>(step.expectedMs)) +
+                  "ms/report=" + std::to_string(static_cast<int>(step.reportAgeMs)) + "ms";
     if (step.leavingFor.count() > 0)
-        trail += "/leaving-for=" + std::to_string(static_cast<int>(core::toMilliseconds(step.leavingFor))) + "ms";
+        attemptLog += "/leaving-for=" + std::to_string(static_cast<int>(core::toMilliseconds(step.leavingFor))) + "ms";
     if (step.backOffLeft.count() > 0)
-        trail += "/back-off-left=" + std::to_string(static_cast<int>(core::toMilliseconds(step.backOffLeft))) + "ms";
+        attemptLog +=
+            "/back-off-left=" + std::to_string(static_cast<int>(core::toMilliseconds(step.backOffLeft))) + "ms";
 }
 
 ////////////////////////////////////////////////////////////
-void Exchange::ended(unsigned attempt, const balance::Outcome& outcome, core::Timestamp now)
+void Exchange::recordAttemptEnd(unsigned attempt, const balance::Outcome& outcome, core::Timestamp now)
 {
-    lost = lost || outcome.end == balance::AttemptEnd::Lost;
-    trail += ",end" + std::to_string(attempt) + "=" + std::string(nameOf(outcome.end)) + "/" +
-             std::to_string(outcome.status) + "@" +
-             std::to_string(static_cast<int>(core::toMilliseconds(now - since))) + "ms";
+    anyAttemptLost = anyAttemptLost || outcome.end == balance::AttemptEnd::Lost;
+    attemptLog += ",end" + std::to_string(attempt) + "=" + std::string(nameOf(outcome.end)) + "/" +
+                  std::to_string(outcome.status) + "@" +
+                  std::to_string(static_cast<int>(core::toMilliseconds(now - firstByteAt))) + "ms";
 }
 
 ////////////////////////////////////////////////////////////
-void Exchange::noteEstimate(const balance::Refusal& refusal)
+void Exchange::recordEstimate(const balance::Refusal& refusal)
 {
-    trail += "best-expected=" + std::to_string(static_cast<int>(refusal.expectedMs)) +
-             "ms/report=" + std::to_string(static_cast<int>(refusal.reportAgeMs)) + "ms";
+    attemptLog += "best-expected=" + std::to_string(static_cast<int>(refusal.expectedMs)) +
+                  "ms/report=" + std::to_string(static_cast<int>(refusal.reportAgeMs)) + "ms";
 }
 
 ////////////////////////////////////////////////////////////
-void Exchange::end(unsigned status, std::string_view reason, core::Timestamp now)
+void Exchange::setEnding(unsigned status, std::string_view reason, core::Timestamp now)
 {
     ending = Ending{status, reason, now};
     decidedAt = decidedAt.value_or(now);
 }
 
 ////////////////////////////////////////////////////////////
-std::shared_ptr<ServerConnection> Exchange::releaseSend(unsigned attempt)
+std::shared_ptr<ServerConnection> Exchange::releaseAttempt(unsigned attempt)
 {
-    const auto found = sends.find(attempt);
-    if (found == sends.end())
+    const auto found = activeAttempts.find(attempt);
+    if (found == activeAttempts.end())
         return nullptr;
     auto connection = std::move(found->second);
-    sends.erase(found);
+    activeAttempts.erase(found);
     return connection;
 }
 
--- a/src/sailpath/gateway/Exchange.hpp
+++ b/src/sailpath/gateway/Exchange.hpp
@@ -15,69 +15,86 @@
 namespace sailpath::gateway::priv
 {
 ////////////////////////////////////////////////////////////
-/// \brief How a request ended
+/// \brief Outcome of a request
 ////////////////////////////////////////////////////////////
 struct Ending
 {
-    unsigned         status{0}; //!< Of the answer to the caller; 0 for none
-    std::string_view reason;    //!< Its name in logs and metrics
-    core::Timestamp  at{};      //!< When the answer was known
+    unsigned         status{0}; //!< HTTP status of the answer to the caller; 0 when no answer is sent
+    std::string_view reason;    //!< Name of the outcome in logs and metrics
+    core::Timestamp  at{};      //!< When the outcome was known
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief A request under way: what is sent, where it is, what came back
+/// \brief A request in progress: its content, its attempts and their answers
 ////////////////////////////////////////////////////////////
 struct Exchange
 {
-    std::weak_ptr<CallerConnection>                       caller;          //!< Who asked
-    std::string                                           id;              //!< As the caller gave it
-    std::string                                           callerAddress;   //!< IP number
-    std::string                                           host;            //!< Of a route; empty when there is none
-    std::string                                           route;           //!< Its name; empty when there is none
-    std::string                                           workspace;       //!< That it is sent for; empty without
-    std::string                                           startLine;       //!< For the server
-    std::string                                           fields;          //!< For the server, those that are passed on
-    std::string                                           body;            //!< Whole
-    bool                                                  headOnly{false}; //!< Its answer has no body
-    bool                                                  hasBody{false};  //!< A length is to be told
-    core::Timestamp                                       since{};         //!< First byte
-    std::optional<core::Timestamp>                        decidedAt;       //!< First send, or refusal without one
-    std::optional<Ending>                                 ending;          //!< Once its answer is known
-    core::Duration                                        trying{};        //!< Before this try, as far as is known
-    unsigned                                              attempts{0};     //!< Sends
-    unsigned                                              probes{0};       //!< Servers asked for their load
-    std::string                                           trail;           //!< Sends and their ends, for the log
-    bool                                                  lost{false};     //!< Some send was lost
-    std::map<unsigned, std::shared_ptr<ServerConnection>> sends;           //!< Under way
-    std::map<unsigned, ServerAnswer>                      answers;         //!< By attempt
+    std::weak_ptr<CallerConnection> caller;          //!< Connection that the request came on
+    std::string                     id;              //!< Request id set by the caller
+    std::string                     callerAddress;   //!< IP address of the caller
+    std::string                     host;            //!< Requested host; empty when no route matches
+    std::string                     route;           //!< Name of the route; empty when none matches
+    std::string                     workspace;       //!< Workspace that the request is sent for; empty without one
+    std::string                     startLine;       //!< Request line sent to servers
+    std::string                     headerFields;    //!< The caller's header fields that are passed on
+    std::string                     body;            //!< Whole request body
+    bool                            headOnly{false}; //!< HEAD request, whose answer has no body
+    bool                            hasBody{false};  //!< Whether servers get a Content-Length
+    core::Timestamp                 firstByteAt{};   //!< When the first byte arrived
+    std::optional<core::Timestamp>  decidedAt;       //!< First attempt, or refusal without an attempt
+    std::optional<Ending>           ending;          //!< Set once the outcome is known
+    core::Duration                  triedFor{};      //!< Estimated time that the caller has tried before this request
+    unsigned                        attempts{0};     //!< Number of attempts
+    unsigned                        probes{0};       //!< Number of load probes sent for this request
+    std::string                     attemptLog;      //!< Attempts, their ends and reasons of refusals, for the log
+    bool                            anyAttemptLost{false};                //!< Whether any attempt ended as lost
+    std::map<unsigned, std::shared_ptr<ServerConnection>> activeAttempts; //!< Connections by attempt number
+    std::map<unsigned, ServerAnswer>                      answers;        //!< Answers by attempt number
 
     ////////////////////////////////////////////////////////////
-    /// \brief Take over a caller's request
+    /// \brief Fill the exchange from a caller's request
+    ///
+    /// \param request Whole request
+    /// \param dialect Header names; fields that the gateway sets itself are dropped
     ////////////////////////////////////////////////////////////
-    void take(CallerRequest request, const Dialect& dialect);
+    void assign(CallerRequest request, const Dialect& dialect);
 
     ////////////////////////////////////////////////////////////
-    /// \brief The request as one instance gets it
+    /// \brief Build the request that is sent to one instance
+    ///
+    /// \param instance Instance that gets the request
+    /// \param left     Time until the server has to be done
+    /// \param dialect  Header names
     ///
-    /// \param left Time until the server has to be done
+    /// \return Message with its id and whether its answer has a body
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] Send request(const deployment::Instance& instance, core::Duration left, const Dialect& dialect) const;
+    [[nodiscard]] Send buildRequest(const deployment::Instance& instance, core::Duration left,
+                                    const Dialect& dialect) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief What the request is known by when it comes again
+    /// \brief Get the identity by which a repeated request is recognised
     ///
-    /// Computed when it is asked for first: few requests are ever looked for again.
+    /// Computed on first use, because few requests are ever compared.
+    ///
+    /// \return Hashes of the content and of the caller's address
     ////////////////////////////////////////////////////////////
     [[nodiscard]] const deployment::RequestIdentity& identity();
 
-    void note(const balance::Step& step, core::Timestamp now);                          //!< A send, for the log
-    void ended(unsigned attempt, const balance::Outcome& outcome, core::Timestamp now); //!< Its end, for the log
-    void noteEstimate(const balance::Refusal& refusal); //!< What a refusal was decided by, for the log
-    void end(unsigned status, std::string_view reason, core::Timestamp now);       //!< Its answer is known
-    [[nodiscard]] std::shared_ptr<ServerConnection> releaseSend(unsigned attempt); //!< Forget a send; null if it ended
+    void recordAttempt(const balance::Step& step, core::Timestamp now); //!< Count and log a new attempt
+    void recordAttemptEnd(unsigned attempt, const balance::Outcome& outcome,
+                          core::Timestamp now);           //!< Log how an attempt ended
+    void recordEstimate(const balance::Refusal& refusal); //!< Log the estimate that a refusal is based on
+    void setEnding(unsigned status, std::string_view reason, core::Timestamp now); //!< Set the outcome
+
+    ////////////////////////////////////////////////////////////
+    /// \brief Remove an active attempt
+    ///
+    /// \return Connection of the attempt; null if the attempt has ended
+    ////////////////////////////////////////////////////////////
+    [[nodiscard]] std::shared_ptr<ServerConnection> releaseAttempt(unsigned attempt);
 
 private:
-    std::optional<deployment::RequestIdentity> m_identity; //!< Once it was asked for
+    std::optional<deployment::RequestIdentity> m_identity; //!< Set by the first call of `identity`
 };
 
 } // namespace sailpath::gateway::priv
--- a/src/sailpath/gateway/Gateway.cpp
+++ b/src/sailpath/gateway/Gateway.cpp
@@ -11,68 +11,69 @@
 using priv::CallerConnection;
 using Socket = asio::ip::tcp::socket;
 
-constexpr auto sweepEvery = std::chrono::milliseconds{500};
-constexpr auto stoodStill = std::chrono::milliseconds{1000}; // Twice the time between sweeps
-constexpr auto catchUp =
-    std::chrono::milliseconds{50}; // For what had come to be read; the buffers of some hundred callers
-constexpr auto          acceptPause = std::chrono::milliseconds{20}; // After a failure, for descriptors to come free
-constexpr std::uint32_t mostEarlyHead = 64U * 1024;                  // Before the operator's limit is known
+constexpr auto sweepInterval = std::chrono::milliseconds{500};
+constexpr auto stallThreshold = std::chrono::milliseconds{1000}; // Twice the sweep interval
+constexpr auto catchUpTime = std::chrono::milliseconds{
+    50}; // Time to read what arrived during a stall: the receive buffers of some hundred callers
+constexpr auto          acceptRetryDelay = std::chrono::milliseconds{20}; // Time for file descriptors to become free
+constexpr std::uint32_t maxHeadBytesUnconfigured = 64U * 1024;            // Until the operators' limit is known
 
 ////////////////////////////////////////////////////////////
-asio::ip::tcp::acceptor listenOn(asio::io_context& context, const adapters::settings::Endpoint& where)
+asio::ip::tcp::acceptor listenOn(asio::io_context& context, const adapters::settings::Endpoint& address)
 {
-    const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(where.address), where.port);
+    const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(address.address), address.port);
     return {context, endpoint, true};
 }
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-Gateway::Impl::Impl(asio::io_context& loop, GatewaySettings given, const Dialect& names, ports::EventLog& log) :
+Gateway::Impl::Impl(asio::io_context& loop, GatewaySettings initialSettings, const Dialect& headerDialect,
+                    ports::EventLog& log) :
 context(loop),
-settings(std::move(given)),
-dialect(names),
+settings(std::move(initialSettings)),
+dialect(headerDialect),
 events(log),
 balancer(settings.balance, core::now()),
 servers(
-    loop, settings, names,
+    loop, settings, headerDialect,
     [this](const deployment::Instance& instance, unsigned idle, unsigned open)
     { balancer.connections(instance, idle, open); },
     [this](const std::shared_ptr<const deployment::Instance>& instance, const balance::ServerNotice& notice,
-           balance::NoticeSource source) { noticed(instance, notice, source); }),
+           balance::NoticeSource source) { recordNotice(instance, notice, source); }),
 acceptor(listenOn(loop, settings.listen)),
 acceptTimer(loop),
 dueTimer(loop),
 sweepTimer(loop),
 bodies(std::make_shared<priv::BodyMemory>(static_cast<std::int64_t>(settings.maxBufferedBytes))),
-fieldWatch(names),
-readiness(loop, settings.readinessListen, {{names.readinessPath, [this] {
-                                                return priv::StatusAnswer{ready && !isLeaving ? 200U : 503U, {}};
-                                            }}})
+unknownFieldDetector(headerDialect),
+readinessServer(loop, settings.readinessListen, {{headerDialect.readinessPath, [this] {
+                                                      return priv::StatusAnswer{ready && !isDraining ? 200U : 503U, {}};
+                                                  }}})
 {
     if (settings.metricsListen)
-        metricsPage.emplace(loop, *settings.metricsListen,
-                            priv::StatusServer::Pages{{"/metrics",
-                                                       [this] {
-                                                           return priv::StatusAnswer{200, metrics()};
-                                                       }},
-                                                      {"/quarantine",
-                                                       [this] {
-                                                           return priv::StatusAnswer{200, quarantineList()};
-                                                       }},
-                                                      {"/limits",
-                                                       [this] {
-                                                           return priv::StatusAnswer{200, limitList()};
-                                                       }},
-                                                      {"/notices",
-                                                       [this] {
-                                                           return priv::StatusAnswer{200, noticeList()};
-                                                       }},
-                                                      {"/quotas", [this] {
-                                                           return priv::StatusAnswer{200, quotaList()};
-                                                       }}});
-    // Until the operator's limits are known, only memory bounds what a caller sends.
-    callerLimits.headBytes = mostEarlyHead;
+        metricsServer.emplace(loop, *settings.metricsListen,
+                              priv::StatusServer::Pages{{"/metrics",
+                                                         [this] {
+                                                             return priv::StatusAnswer{200, metrics()};
+                                                         }},
+                                                        {"/quarantine",
+                                                         [this] {
+                                                             return priv::StatusAnswer{200, quarantineList()};
+                                                         }},
+                                                        {"/limits",
+                                                         [this] {
+                                                             return priv::StatusAnswer{200, limitList()};
+                                                         }},
+                                                        {"/notices",
+                                                         [this] {
+                                                             return priv::StatusAnswer{200, noticeList()};
+                                                         }},
+                                                        {"/quotas", [this] {
+                                                             return priv::StatusAnswer{200, quotaList()};
+                                                         }}});
+    // Until the operators' limits are known, memory alone limits the size of a body.
+    callerLimits.headBytes = maxHeadBytesUnconfigured;
     callerLimits.bodyBytes = settings.maxBufferedBytes;
     accept();
     scheduleSweep();
@@ -81,33 +82,34 @@
 ////////////////////////////////////////////////////////////
 void Gateway::Impl::accept()
 {
-    acceptor.async_accept(peer,
+    acceptor.async_accept(acceptedPeer,
                           [this](const asio::error_code& error, Socket socket)
                           {
                               if (error == asio::error::operation_aborted)
                                   return;
                               if (error)
-                                  return acceptAgain(error.message());
-                              admitCaller(std::move(socket));
+                                  return retryAccept(error.message());
+                              addCaller(std::move(socket));
                               accept();
                           });
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::Impl::admitCaller(asio::ip::tcp::socket socket)
+void Gateway::Impl::addCaller(asio::ip::tcp::socket socket)
 {
-    // A new caller has more need of a place than one that rests.
-    if (callers.size() >= settings.maxCallers && !closeLongestResting())
+    // At the connection limit, the caller that has been idle longest makes room for a new one.
+    if (callers.size() >= settings.maxCallers && !closeLongestIdleCaller())
         return;
     asio::error_code ignored;
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-    auto caller = std::make_shared<CallerConnection>(std::move(socket), peer.address().to_string(), *this, bodies);
+    auto caller =
+        std::make_shared<CallerConnection>(std::move(socket), acceptedPeer.address().to_string(), *this, bodies);
     callers.insert(caller);
     caller->start();
 }
 
 ////////////////////////////////////////////////////////////
-bool Gateway::Impl::closeLongestResting()
+bool Gateway::Impl::closeLongestIdleCaller()
 {
     std::shared_ptr<CallerConnection> longest;
     for (const auto& caller : callers)
@@ -124,13 +126,13 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::Impl::acceptAgain(const std::string& why)
+void Gateway::Impl::retryAccept(const std::string& reason)
 {
-    // Mostly descriptors have run out: connections at rest give theirs back.
-    events.write(ports::Level::Warning, "accept-failed", {{"why", why}, {"callers", callers.size()}});
+    // The usual cause is a lack of file descriptors; closing idle connections frees some.
+    events.write(ports::Level::Warning, "accept-failed", {{"why", reason}, {"callers", callers.size()}});
     servers.closeIdle();
-    closeLongestResting();
-    acceptTimer.expires_after(acceptPause);
+    closeLongestIdleCaller();
+    acceptTimer.expires_after(acceptRetryDelay);
     acceptTimer.async_wait(
         [this](const asio::error_code& error)
         {
@@ -142,7 +144,7 @@
 ////////////////////////////////////////////////////////////
 void Gateway::Impl::scheduleSweep()
 {
-    sweepTimer.expires_after(sweepEvery);
+    sweepTimer.expires_after(sweepInterval);
     sweepTimer.async_wait(
         [this](const asio::error_code& error)
         {
@@ -150,7 +152,7 @@
                 return;
             const auto                                           at = core::now();
             const std::vector<std::shared_ptr<CallerConnection>> all(callers.begin(), callers.end());
-            noteRun();
+            detectStall();
             for (const auto& caller : all)
                 caller->sweep(at);
             servers.sweep();
@@ -159,25 +161,25 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::Impl::noteRun()
+void Gateway::Impl::detectStall()
 {
     const core::Timestamp at = core::now();
-    const core::Duration  gap = at - std::exchange(ranAt, at);
-    if (gap < stoodStill)
+    const core::Duration  gap = at - std::exchange(lastRunAt, at);
+    if (gap < stallThreshold)
         return;
     events.write(ports::Level::Warning, "stood-still", {{"ms", core::toMilliseconds(gap)}});
-    stoodSince = at - gap;
-    caughtUpAt = at + catchUp;
-    // What has fallen due meanwhile goes before what has arrived: else a request whose time is up is sent once more.
+    stalledSince = at - gap;
+    catchUpUntil = at + catchUpTime;
+    // Expired timers come before received bytes; otherwise a request past its deadline would be sent once more.
     balancer.due(at);
-    carryOut();
+    performPendingSteps();
 }
 
 ////////////////////////////////////////////////////////////
 core::Timestamp Gateway::Impl::earliestArrival()
 {
-    noteRun();
-    return ranAt < caughtUpAt ? stoodSince : ranAt;
+    detectStall();
+    return lastRunAt < catchUpUntil ? stalledSince : lastRunAt;
 }
 
 ////////////////////////////////////////////////////////////
@@ -249,7 +251,7 @@
 ////////////////////////////////////////////////////////////
 std::string Gateway::Impl::metrics() const
 {
-    std::string text = latencies.text() + stages.text();
+    std::string text = trafficMetrics.text() + stageTimes.text();
     const auto  add = [&text](std::string_view name, std::string_view type, auto value)
     {
         text.append("# TYPE sailpath_").append(name).append(" ").append(type).append("\nsailpath_").append(name);
@@ -275,8 +277,8 @@
     add("requests_unfinished", "gauge", exchanges.size());
     add("body_bytes_held", "gauge", bodies->used());
     add("configuration_version", "gauge", version);
-    if (furtherMetrics)
-        text += furtherMetrics();
+    if (additionalMetrics)
+        text += additionalMetrics();
     return text;
 }
 
@@ -292,9 +294,9 @@
 ////////////////////////////////////////////////////////////
 void Gateway::configure(const deployment::Declared& declared)
 {
-    // Requests that were held for the first configuration are decided about with it.
-    if (m_impl->provedAt)
-        m_impl->balancer.proved(m_impl->provedAt());
+    // Requests held back until the first configuration are decided here.
+    if (m_impl->confirmedAtSource)
+        m_impl->balancer.proved(m_impl->confirmedAtSource());
     m_impl->balancer.configure(declared, core::now());
     m_impl->servers.setEvacuated(declared.evacuated);
     m_impl->servers.closeEarlierLives(declared.instances);
@@ -308,78 +310,78 @@
         m_impl->events.write(ports::Level::Info, "ready",
                              {{"version", declared.deployment->version}, {"instances", declared.instances.size()}});
     m_impl->ready = m_impl->ready || ready;
-    m_impl->carryOut();
+    m_impl->performPendingSteps();
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::setConfirmedAtSource(std::function<std::optional<core::Timestamp>()> provedAt)
+void Gateway::setConfirmedAtSource(std::function<std::optional<core::Timestamp>()> confirmedAt)
 {
-    m_impl->provedAt = std::move(provedAt);
+    m_impl->confirmedAtSource = std::move(confirmedAt);
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::setFleetContactSource(std::function<std::optional<core::Timestamp>()> heardFleet)
+void Gateway::setFleetContactSource(std::function<std::optional<core::Timestamp>()> lastContact)
 {
-    m_impl->heardFleet = std::move(heardFleet);
+    m_impl->fleetContactSource = std::move(lastContact);
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::onServerFailures(std::function<void(std::vector<std::uint32_t>)> failed)
+void Gateway::onServerFailures(std::function<void(std::vector<std::uint32_t>)> handler)
 {
-    m_impl->failed = std::move(failed);
+    m_impl->failuresHandler = std::move(handler);
 }
 
 ////////////////////////////////////////////////////////////
 void Gateway::receiveServerFailures(std::span<const deployment::ServerFailure> failures)
 {
     m_impl->balancer.heardFailures(failures, core::now());
-    m_impl->logBeliefs();
+    m_impl->logBalancerChanges();
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::onServerCrashes(std::function<void(deployment::CrashNews)>  news,
-                              std::function<void(deployment::Quarantine)> quarantined)
+void Gateway::onServerCrashes(std::function<void(deployment::CrashNews)>  newsHandler,
+                              std::function<void(deployment::Quarantine)> quarantineHandler)
 {
-    m_impl->crashed = std::move(news);
-    m_impl->quarantined = std::move(quarantined);
+    m_impl->crashesHandler = std::move(newsHandler);
+    m_impl->quarantineHandler = std::move(quarantineHandler);
 }
 
 ////////////////////////////////////////////////////////////
 void Gateway::receiveServerCrashes(const deployment::CrashNews& news)
 {
     m_impl->balancer.heardCrashes(news, core::now());
-    m_impl->logBeliefs();
+    m_impl->logBalancerChanges();
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::onServerLimits(std::function<void(std::vector<deployment::LimitNews>)> news)
+void Gateway::onServerLimits(std::function<void(std::vector<deployment::LimitNews>)> handler)
 {
-    m_impl->limited = std::move(news);
+    m_impl->limitsHandler = std::move(handler);
 }
 
 ////////////////////////////////////////////////////////////
 void Gateway::receiveServerLimits(std::span<const deployment::LimitNews> news)
 {
     m_impl->balancer.heardLimits(news, core::now());
-    m_impl->logBeliefs();
+    m_impl->logBalancerChanges();
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::setAdditionalMetrics(std::function<std::string()> further)
+void Gateway::setAdditionalMetrics(std::function<std::string()> generator)
 {
-    m_impl->furtherMetrics = std::move(further);
+    m_impl->additionalMetrics = std::move(generator);
 }
 
 ////////////////////////////////////////////////////////////
 std::uint16_t Gateway::metricsPort() const
 {
-    return m_impl->metricsPage ? m_impl->metricsPage->port() : std::uint16_t{0};
+    return m_impl->metricsServer ? m_impl->metricsServer->port() : std::uint16_t{0};
 }
 
 ////////////////////////////////////////////////////////////
 void Gateway::startDraining()
 {
-    m_impl->isLeaving = true;
+    m_impl->isDraining = true;
 }
 
 ////////////////////////////////////////////////////////////
@@ -419,7 +421,7 @@
 ////////////////////////////////////////////////////////////
 std::uint16_t Gateway::readinessPort() const
 {
-    return m_impl->readiness.port();
+    return m_impl->readinessServer.port();
 }
 
 } // namespace sailpath::gateway
--- a/src/sailpath/gateway/GatewayImpl.hpp
+++ b/src/sailpath/gateway/GatewayImpl.hpp
@@ -4,9 +4,9 @@
 #include "CallerConnection.hpp"
 #include "CallerEvents.hpp"
 #include "Exchange.hpp"
-#include "FieldWatch.hpp"
 #include "ServerConnections.hpp"
 #include "StatusServer.hpp"
+#include "UnknownFieldDetector.hpp"
 
 #include <sailpath/gateway/Gateway.hpp>
 #include <sailpath/metrics/StageTimes.hpp>
@@ -22,42 +22,48 @@
 namespace sailpath::gateway
 {
 ////////////////////////////////////////////////////////////
-/// \brief Connections and decisions of the gateway
+/// \brief Implementation of the gateway: connections, and the steps that the balancer decides on
 ////////////////////////////////////////////////////////////
 struct Gateway::Impl : public priv::CallerEvents
 {
-    Impl(asio::io_context& loop, GatewaySettings given, const Dialect& names, ports::EventLog& events);
+    Impl(asio::io_context& loop, GatewaySettings initialSettings, const Dialect& headerDialect,
+         ports::EventLog& events);
 
     void accept();
-    void admitCaller(asio::ip::tcp::socket socket);
-    void acceptAgain(const std::string& why);
-    bool closeLongestResting(); //!< False when no caller rests
-    void scheduleSweep();
-    void noteRun(); //!< The loop runs; it may have stood still, with the VM or alone
-    void arm();
-    void logBeliefs(); //!< What changed of what is believed of servers
+    void addCaller(asio::ip::tcp::socket socket); //!< Close the connection when there is no room for it
+    void retryAccept(const std::string& reason);  //!< Free descriptors and accept again after a delay
+    bool closeLongestIdleCaller();                //!< Return false when no caller is idle
+    void scheduleSweep();                         //!< Close connections that exceed their times, at a fixed interval
+    void
+    detectStall(); //!< Detect that the event loop has not run for a while, for example because the VM was suspended
+    void armDueTimer();        //!< Set the timer for the next time at which the balancer has to act
+    void logBalancerChanges(); //!< Log what the balancer concluded about servers and requests
     void logLimit(const balance::LimitChange& change);
     void logNotice(const balance::NoticeChange& change);
-    void noticed(const std::shared_ptr<const deployment::Instance>& instance, const balance::ServerNotice& notice,
-                 balance::NoticeSource source); //!< An answer says which requests its server wants
-    void noteQuota(priv::Exchange& exchange);   //!< What it is refused by, for the log
-    void noteContact();                         //!< When other nodes could be heard
-    [[nodiscard]] std::string_view keyOf(const http::Head& head) const; //!< Empty without one, or with several
-    [[nodiscard]] std::string      quotaList() const; //!< A line for each workspace that has one, for operators
-    void noteFields(const deployment::Instance& instance, const http::Head& head); //!< Those that nobody here reads
-    void carryOut();
-    void perform(const balance::Step& step);
-    void forward(const balance::Step& step);
-    void probe(const balance::Step& step);
-    void check(const balance::Step& step); //!< Whether an instance still takes connections
+    void
+         recordNotice(const std::shared_ptr<const deployment::Instance>& instance, const balance::ServerNotice& notice,
+                      balance::NoticeSource source); //!< Process a notice of a server that it leaves or wants fewer requests
+    void recordQuotaRefusal(priv::Exchange& exchange); //!< Add the state of the exceeded quota to the log line
+    void updateFleetContact(); //!< Tell the balancer the time of the last contact with other nodes
+    [[nodiscard]] std::string_view
+                              keyOf(const http::Head& head) const; //!< Workspace key; empty when absent or ambiguous
+    [[nodiscard]] std::string quotaList() const; //!< Page with one line per workspace that has a quota
+    void                      logUnknownFields(const deployment::Instance& instance,
+                                               const http::Head&           head); //!< Log fields that the gateway does not interpret
+    void                      performPendingSteps(); //!< Perform all steps of the balancer and publish its news
+    void                      performStep(const balance::Step& step);
+    void                      forward(const balance::Step& step);
+    void                      probe(const balance::Step& step);
+    void                      check(const balance::Step& step); //!< Test whether an instance accepts connections
     void attemptEnded(balance::Ticket ticket, unsigned attempt, balance::Outcome outcome, priv::ServerAnswer answer);
     void finish(balance::Ticket ticket, const balance::Step& step);
-    void log(priv::Exchange& exchange);
-    void noteQuarantine(priv::Exchange& exchange); //!< The belief by which it is refused, for the log
-    [[nodiscard]] std::string metrics() const;
-    [[nodiscard]] std::string quarantineList() const; //!< A line each, for operators
-    [[nodiscard]] std::string limitList() const;      //!< A line for each limited server, for operators
-    [[nodiscard]] std::string noticeList() const; //!< A line for each server that leaves or backs off, for operators
+    void log(priv::Exchange& exchange); //!< Log and measure an exchange that has ended
+    void
+    recordQuarantineRefusal(priv::Exchange& exchange); //!< Count the refusal and add the quarantine to the log line
+    [[nodiscard]] std::string metrics() const;         //!< Page with metrics
+    [[nodiscard]] std::string quarantineList() const;  //!< Page with one line per quarantine
+    [[nodiscard]] std::string limitList() const;       //!< Page with one line per limited server
+    [[nodiscard]] std::string noticeList() const; //!< Page with one line per server that leaves or asked to back off
 
     [[nodiscard]] balance::Ticket newTicket() override;
     [[nodiscard]] core::Timestamp earliestArrival() override;
@@ -72,43 +78,43 @@
     [[nodiscard]] bool                            configured() const override;
     [[nodiscard]] bool                            leaving() const override;
 
-    asio::io_context&                                   context;
-    GatewaySettings                                     settings;
-    const Dialect&                                      dialect;
-    ports::EventLog&                                    events;
-    balance::Balancer                                   balancer;
-    priv::ServerConnections                             servers;
-    asio::ip::tcp::acceptor                             acceptor;
-    asio::ip::tcp::endpoint                             peer; // Of the connection accepted last
-    asio::steady_timer                                  acceptTimer;
-    asio::steady_timer                                  dueTimer;
-    asio::steady_timer                                  sweepTimer;
-    std::optional<core::Timestamp>                      armed;
-    std::set<std::shared_ptr<priv::CallerConnection>>   callers;
+    asio::io_context&                                 context;
+    GatewaySettings                                   settings;
+    const Dialect&                                    dialect;
+    ports::EventLog&                                  events;
+    balance::Balancer                                 balancer;
+    priv::ServerConnections                           servers;
+    asio::ip::tcp::acceptor                           acceptor;
+    asio::ip::tcp::endpoint                           acceptedPeer; //!< Remote address of the connection accepted last
+    asio::steady_timer                                acceptTimer;
+    asio::steady_timer                                dueTimer;
+    asio::steady_timer                                sweepTimer;
+    std::optional<core::Timestamp>                    dueTimerExpiry; //!< Null when the due timer is not set
+    std::set<std::shared_ptr<priv::CallerConnection>> callers;
     std::unordered_map<balance::Ticket, priv::Exchange> exchanges;
     deployment::CallerLimits                            callerLimits;
     Counters                                            counters;
     balance::Ticket                                     nextTicket{1};
-    std::shared_ptr<priv::BodyMemory>                   bodies;
-    std::uint64_t                                       version{0};
-    core::Timestamp                                     ranAt{core::Timestamp::max()}; // When the loop ran last
-    core::Timestamp                                     stoodSince{}; // When it ran last before it stood still
-    core::Timestamp              caughtUpAt{}; // What is read until then may have come while it stood still
-    bool                         ready{false};
-    bool                         isLeaving{false};
-    bool                         carrying{false};
-    metrics::TrafficMetrics      latencies;
-    metrics::StageTimes          stages;
-    priv::FieldWatch             fieldWatch;
-    std::function<std::string()> furtherMetrics;
-    std::function<std::optional<core::Timestamp>()>         provedAt;
-    std::function<std::optional<core::Timestamp>()>         heardFleet;
-    std::function<void(std::vector<std::uint32_t>)>         failed;
-    std::function<void(deployment::CrashNews)>              crashed;
-    std::function<void(deployment::Quarantine)>             quarantined;
-    std::function<void(std::vector<deployment::LimitNews>)> limited;
-    priv::StatusServer                                      readiness;
-    std::optional<priv::StatusServer>                       metricsPage;
+    std::shared_ptr<priv::BodyMemory>                   bodies;     //!< Memory budget of request bodies
+    std::uint64_t                                       version{0}; //!< Version of the configuration in force
+    core::Timestamp              lastRunAt{core::Timestamp::max()}; //!< Time of the last run of the loop
+    core::Timestamp              stalledSince{};                    //!< Time of the last run before the latest stall
+    core::Timestamp              catchUpUntil{}; //!< Bytes read before this time may have arrived during the stall
+    bool                         ready{false};   //!< Routes and servers have been configured
+    bool                         isDraining{false};
+    bool                         performingSteps{false}; //!< Guards against reentry of `performPendingSteps`
+    metrics::TrafficMetrics      trafficMetrics;
+    metrics::StageTimes          stageTimes;
+    priv::UnknownFieldDetector   unknownFieldDetector;
+    std::function<std::string()> additionalMetrics;
+    std::function<std::optional<core::Timestamp>()>         confirmedAtSource;
+    std::function<std::optional<core::Timestamp>()>         fleetContactSource;
+    std::function<void(std::vector<std::uint32_t>)>         failuresHandler;
+    std::function<void(deployment::CrashNews)>              crashesHandler;
+    std::function<void(deployment::Quarantine)>             quarantineHandler;
+    std::function<void(std::vector<deployment::LimitNews>)> limitsHandler;
+    priv::StatusServer                                      readinessServer;
+    std::optional<priv::StatusServer>                       metricsServer;
 };
 
 } // namespace sailpath::gateway
--- a/src/sailpath/gateway/GatewayRequests.cpp
+++ b/src/sailpath/gateway/GatewayRequests.cpp
@@ -1,4 +1,4 @@
-// The life of a request at the gateway: read, decided about, sent, answered, logged.
+// Request processing of the gateway: arrival, balancing steps, attempts, answer and log line.
 
 #include "GatewayImpl.hpp"
 
@@ -15,18 +15,22 @@
 using priv::Exchange;
 using priv::OwnAnswer;
 
-constexpr std::uint64_t longestDeadlineMs = 3'600'000;
+constexpr std::uint64_t maxTimeLeftMs = 3'600'000;
 
 ////////////////////////////////////////////////////////////
-std::optional<core::Duration> timeLeft(std::string_view text)
+/// \brief Parse the number of milliseconds that a caller waits, at most one hour; null when malformed
+////////////////////////////////////////////////////////////
+std::optional<core::Duration> parseTimeLeft(std::string_view text)
 {
     std::uint64_t value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (text.empty() || error != std::errc{} || end != text.data() + text.size())
         return std::nullopt;
-    return std::chrono::milliseconds{std::min(value, longestDeadlineMs)};
+    return std::chrono::milliseconds{std::min(value, maxTimeLeftMs)};
 }
 
+////////////////////////////////////////////////////////////
+/// \brief Get the HTTP status that answers a refusal
 ////////////////////////////////////////////////////////////
 unsigned statusOf(const balance::Refusal& refusal)
 {
@@ -58,7 +62,7 @@
 ////////////////////////////////////////////////////////////
 void Gateway::Impl::requestRead(CallerConnection& caller, balance::Ticket ticket, priv::CallerRequest request)
 {
-    noteRun();
+    detectStall();
     ++counters.requests;
     balance::Arrival  arrival;
     const std::string host(request.head.field("Host"));
@@ -66,16 +70,16 @@
     arrival.host = host;
     arrival.target = target;
     arrival.since = request.since;
-    arrival.timeLeft = timeLeft(request.head.field(dialect.deadlineMs));
+    arrival.timeLeft = parseTimeLeft(request.head.field(dialect.deadlineMs));
     const std::string key(keyOf(request.head));
     arrival.key = key;
-    if (heardFleet && balancer.hasQuotas())
-        noteContact();
+    if (fleetContactSource && balancer.hasQuotas())
+        updateFleetContact();
 
     Exchange& exchange = exchanges[ticket];
     exchange.caller = caller.shared_from_this();
     exchange.callerAddress = caller.address();
-    exchange.take(std::move(request), dialect);
+    exchange.assign(std::move(request), dialect);
     const deployment::HostRoute* route = balancer.findRoute(host, target);
     const deployment::Workspace* workspace = balancer.findWorkspace(key);
     if (route != nullptr)
@@ -85,12 +89,12 @@
     }
     if (workspace != nullptr)
         exchange.workspace = workspace->name;
-    if ((route == nullptr || workspace == nullptr) && provedAt)
-        balancer.proved(provedAt());
+    if ((route == nullptr || workspace == nullptr) && confirmedAtSource)
+        balancer.proved(confirmedAtSource());
     if (balancer.looksUpRequests())
         arrival.identity = exchange.identity();
     balancer.admit(ticket, arrival, core::now());
-    carryOut();
+    performPendingSteps();
 }
 
 ////////////////////////////////////////////////////////////
@@ -108,12 +112,12 @@
 {
     ++counters.callersDisconnected;
     balancer.callerLeft(ticket, core::now());
-    carryOut();
+    performPendingSteps();
     const auto found = exchanges.find(ticket);
-    if (found == exchanges.end() || !found->second.sends.empty())
+    if (found == exchanges.end() || !found->second.activeAttempts.empty())
         return;
     if (!found->second.ending)
-        found->second.end(0, "caller-left", core::now());
+        found->second.setEnding(0, "caller-left", core::now());
     answerLeaves(ticket);
 }
 
@@ -139,16 +143,16 @@
 ////////////////////////////////////////////////////////////
 std::string_view Gateway::Impl::keyOf(const http::Head& head) const
 {
-    // Of several it would be up to chance which one counts.
-    const auto named = [this](const http::HeaderField& field) { return http::sameName(field.name, dialect.key); };
-    return std::count_if(head.fields.begin(), head.fields.end(), named) == 1 ? head.field(dialect.key)
+    // With several keys the choice between them would be arbitrary, so none counts.
+    const auto isKey = [this](const http::HeaderField& field) { return http::sameName(field.name, dialect.key); };
+    return std::count_if(head.fields.begin(), head.fields.end(), isKey) == 1 ? head.field(dialect.key)
                                                                              : std::string_view();
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::Impl::noteContact()
+void Gateway::Impl::updateFleetContact()
 {
-    if (const auto at = heardFleet())
+    if (const auto at = fleetContactSource())
         balancer.heardFleet(*at);
 }
 
@@ -157,7 +161,7 @@
 {
     if (const deployment::Workspace* workspace = balancer.findWorkspace(keyOf(head)))
         return workspace->name;
-    // Hosts that nobody declared share what one workspace gets.
+    // A request without a known key counts for its host; all hosts without a route count as one workspace.
     const std::string_view host = head.field("Host");
     return balancer.findRoute(host, http::pathOf(head.target)) != nullptr ? std::string(host) : std::string();
 }
@@ -184,47 +188,47 @@
 ////////////////////////////////////////////////////////////
 bool Gateway::Impl::leaving() const
 {
-    return isLeaving;
+    return isDraining;
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::Impl::carryOut()
+void Gateway::Impl::performPendingSteps()
 {
-    // Carrying a step out can bring the next ones about; they are taken by the outermost call.
-    if (carrying)
+    // Performing a step can produce further steps, which the outermost call processes.
+    if (performingSteps)
         return;
-    carrying = true;
+    performingSteps = true;
     std::vector<balance::Step> steps;
     for (balancer.takeSteps(steps); !steps.empty(); balancer.takeSteps(steps))
     {
         for (const balance::Step& step : steps)
-            perform(step);
+            performStep(step);
     }
-    carrying = false;
-    if (auto failures = balancer.takeFailures(); !failures.empty() && failed)
-        failed(std::move(failures));
-    if (auto news = balancer.takeCrashNews(); !news.empty() && crashed)
-        crashed(std::move(news));
-    if (auto news = balancer.takeLimitNews(); !news.empty() && limited)
-        limited(std::move(news));
-    logBeliefs();
-    arm();
+    performingSteps = false;
+    if (auto failures = balancer.takeFailures(); !failures.empty() && failuresHandler)
+        failuresHandler(std::move(failures));
+    if (auto news = balancer.takeCrashNews(); !news.empty() && crashesHandler)
+        crashesHandler(std::move(news));
+    if (auto news = balancer.takeLimitNews(); !news.empty() && limitsHandler)
+        limitsHandler(std::move(news));
+    logBalancerChanges();
+    armDueTimer();
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::Impl::logBeliefs()
+void Gateway::Impl::logBalancerChanges()
 {
     for (deployment::Quarantine& quarantine : balancer.takeQuarantined())
     {
-        const bool takenBack = quarantine.until <= core::now();
-        events.write(ports::Level::Warning, takenBack ? "quarantine-taken-back" : "request-quarantined",
+        const bool withdrawn = quarantine.until <= core::now();
+        events.write(ports::Level::Warning, withdrawn ? "quarantine-taken-back" : "request-quarantined",
                      {{"content", quarantine.content.text()},
                       {"servers", quarantine.servers},
                       {"callers", quarantine.caller ? "one" : "all"},
                       {"source", quarantine.source},
                       {"untilMs", core::toMilliseconds(quarantine.until - core::now())}});
-        if (quarantined)
-            quarantined(std::move(quarantine));
+        if (quarantineHandler)
+            quarantineHandler(std::move(quarantine));
     }
     for (const auto& instance : balancer.takeSuspects())
         events.write(ports::Level::Info, "server-suspected",
@@ -273,42 +277,42 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::Impl::noticed(const std::shared_ptr<const deployment::Instance>& instance,
-                            const balance::ServerNotice& notice, balance::NoticeSource source)
+void Gateway::Impl::recordNotice(const std::shared_ptr<const deployment::Instance>& instance,
+                                 const balance::ServerNotice& notice, balance::NoticeSource source)
 {
     balancer.noticed(instance, notice, source, core::now());
-    logBeliefs();
+    logBalancerChanges();
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::Impl::noteFields(const deployment::Instance& instance, const http::Head& head)
+void Gateway::Impl::logUnknownFields(const deployment::Instance& instance, const http::Head& head)
 {
-    for (const http::HeaderField& field : fieldWatch.unknown(head))
+    for (const http::HeaderField& field : unknownFieldDetector.detect(head))
         events.write(ports::Level::Info, "server-field-unknown",
                      {{"instance", instance.id}, {"field", field.name}, {"value", field.value}});
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::Impl::arm()
+void Gateway::Impl::armDueTimer()
 {
     const auto next = balancer.nextDue();
-    if (!next || (armed && *armed <= *next && *armed > core::now()))
+    if (!next || (dueTimerExpiry && *dueTimerExpiry <= *next && *dueTimerExpiry > core::now()))
         return;
-    armed = next;
+    dueTimerExpiry = next;
     dueTimer.expires_after(*next - core::now());
     dueTimer.async_wait(
         [this](const asio::error_code& error)
         {
             if (error)
                 return;
-            armed.reset();
+            dueTimerExpiry.reset();
             balancer.due(core::now());
-            carryOut();
+            performPendingSteps();
         });
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::Impl::perform(const balance::Step& step)
+void Gateway::Impl::performStep(const balance::Step& step)
 {
     switch (step.kind)
     {
@@ -319,8 +323,8 @@
         const auto found = exchanges.find(step.ticket);
         if (found == exchanges.end())
             return;
-        const auto connection = found->second.releaseSend(step.attempt);
-        // What may not be repeated is left to end: its server stops by itself at the deadline.
+        const auto connection = found->second.releaseAttempt(step.attempt);
+        // A non-repeatable attempt is left running: its server stops by itself at the deadline.
         if (connection && step.repeatable)
             connection->abandon();
         return;
@@ -345,18 +349,18 @@
     ++counters.attempts;
     counters.furtherAttempts += step.attempt > 1 ? 1 : 0;
     counters.attemptsAgainstNotice += step.leavingFor.count() > 0 || step.backOffLeft.count() > 0 ? 1 : 0;
-    exchange.note(step, core::now());
+    exchange.recordAttempt(step, core::now());
     const auto connection = servers.take(step.instance, !step.repeatable);
-    exchange.sends[step.attempt] = connection;
+    exchange.activeAttempts[step.attempt] = connection;
     const auto ticket = step.ticket;
     const auto attempt = step.attempt;
-    priv::Send send = exchange.request(*step.instance, step.deadline - core::now(), dialect);
+    priv::Send send = exchange.buildRequest(*step.instance, step.deadline - core::now(), dialect);
     send.once = !step.repeatable;
     connection->send(
         std::move(send),
         [this, ticket, attempt, instance = step.instance](const balance::Outcome& outcome, priv::ServerAnswer answer)
         {
-            noteFields(*instance, answer.head);
+            logUnknownFields(*instance, answer.head);
             attemptEnded(ticket, attempt, outcome, std::move(answer));
         });
 }
@@ -368,7 +372,7 @@
                   [this, instance = step.instance](balance::CheckResult result)
                   {
                       balancer.checked(*instance, result, core::now());
-                      carryOut();
+                      performPendingSteps();
                   });
 }
 
@@ -389,9 +393,9 @@
                [this, ticket, number, instance = step.instance](const balance::Outcome&   outcome,
                                                                 const priv::ServerAnswer& answer)
                {
-                   noteFields(*instance, answer.head);
+                   logUnknownFields(*instance, answer.head);
                    balancer.probed(ticket, number, outcome, core::now());
-                   carryOut();
+                   performPendingSteps();
                });
 }
 
@@ -399,18 +403,18 @@
 void Gateway::Impl::attemptEnded(balance::Ticket ticket, unsigned attempt, balance::Outcome outcome,
                                  priv::ServerAnswer answer)
 {
-    noteRun();
+    detectStall();
     const auto found = exchanges.find(ticket);
     if (found != exchanges.end())
     {
         if (outcome.connectionEnded || balancer.looksUpRequests())
             outcome.identity = found->second.identity();
-        found->second.sends.erase(attempt);
-        found->second.ended(attempt, outcome, core::now());
+        found->second.activeAttempts.erase(attempt);
+        found->second.recordAttemptEnd(attempt, outcome, core::now());
         found->second.answers[attempt] = std::move(answer);
     }
     balancer.attemptEnded(ticket, attempt, outcome, core::now());
-    carryOut();
+    performPendingSteps();
 }
 
 ////////////////////////////////////////////////////////////
@@ -421,74 +425,75 @@
         return;
     Exchange&  exchange = found->second;
     const auto caller = exchange.caller.lock();
-    bool       due = false;
+    bool       queued = false;
     if (step.kind == balance::StepKind::Answer)
     {
         priv::ServerAnswer answer = std::move(exchange.answers[step.attempt]);
         ++counters.answered;
-        exchange.end(answer.head.status, "answered", core::now());
-        due = caller && caller->answer(ticket, answer.head, std::move(answer.body));
+        exchange.setEnding(answer.head.status, "answered", core::now());
+        queued = caller && caller->answer(ticket, answer.head, std::move(answer.body));
     }
     else
     {
         const OwnAnswer own{statusOf(step.refusal), balance::toString(step.refusal.reason), step.refusal.comeBack};
         ++(step.refusal.mayHaveRun ? counters.failed : counters.refused);
-        exchange.trying = std::max(exchange.trying, step.refusal.trying);
+        exchange.triedFor = std::max(exchange.triedFor, step.refusal.trying);
         if (step.refusal.reason == balance::RefusalReason::EndsServers)
-            noteQuarantine(exchange);
+            recordQuarantineRefusal(exchange);
         if (step.refusal.reason == balance::RefusalReason::OverQuota)
-            noteQuota(exchange);
+            recordQuotaRefusal(exchange);
         if (step.refusal.expectedMs > 0)
-            exchange.noteEstimate(step.refusal);
-        exchange.end(own.status, own.reason, core::now());
-        due = caller && caller->answer(ticket, own);
+            exchange.recordEstimate(step.refusal);
+        exchange.setEnding(own.status, own.reason, core::now());
+        queued = caller && caller->answer(ticket, own);
     }
-    // Nobody waits for it any more.
-    if (!due)
+    // Without a caller that waits for the answer, the exchange ends here.
+    if (!queued)
         answerLeaves(ticket);
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::Impl::noteQuarantine(Exchange& exchange)
+void Gateway::Impl::recordQuarantineRefusal(Exchange& exchange)
 {
     ++counters.quarantinedRefused;
     const auto  at = core::now();
     const auto* quarantine = balancer.crashes().find(exchange.identity(), at);
     if (quarantine == nullptr)
         return;
-    exchange.trail += "content=" + quarantine->content.text() + "/servers=" + std::to_string(quarantine->servers) +
-                      "/from=" + quarantine->source +
-                      "/age=" + std::to_string(static_cast<int>(core::toMilliseconds(at - quarantine->since))) + "ms";
+    exchange.attemptLog += "content=" + quarantine->content.text() + "/servers=" + std::to_string(quarantine->servers) +
+                           "/from=" + quarantine->source +
+                           "/age=" + std::to_string(static_cast<int>(core::toMilliseconds(at - quarantine->since))) +
+                           "ms";
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::Impl::noteQuota(Exchange& exchange)
+void Gateway::Impl::recordQuotaRefusal(Exchange& exchange)
 {
     if (const auto quota = balancer.quota(exchange.workspace, core::now()))
-        exchange.trail += "quota=" + std::to_string(quota->perSecond) + "+" + std::to_string(quota->burst) +
-                          "/open=" + std::to_string(quota->openness) + "/here=" + std::to_string(quota->sentHere) +
-                          "/all=" + std::to_string(quota->sentByAll);
+        exchange.attemptLog += "quota=" + std::to_string(quota->perSecond) + "+" + std::to_string(quota->burst) +
+                               "/open=" + std::to_string(quota->openness) + "/here=" + std::to_string(quota->sentHere) +
+                               "/all=" + std::to_string(quota->sentByAll);
 }
 
 ////////////////////////////////////////////////////////////
 void Gateway::Impl::log(Exchange& exchange)
 {
-    // Its id is new with each try; by its content it is known again, at whatever node.
-    if (exchange.lost)
+    // Each try of a caller has a new id; the content hash identifies the request on all nodes.
+    if (exchange.anyAttemptLost)
         events.write(ports::Level::Info, "request-lost",
                      {{"request", exchange.id},
                       {"route", exchange.route},
                       {"content", exchange.identity().content.text()},
                       {"caller", exchange.callerAddress}});
     const priv::Ending&  ending = *exchange.ending;
-    const core::Duration took = core::now() - exchange.since;
-    const core::Duration decision = *exchange.decidedAt - exchange.since;
+    const core::Duration took = core::now() - exchange.firstByteAt;
+    const core::Duration decision = *exchange.decidedAt - exchange.firstByteAt;
     const core::Duration turn = core::now() - ending.at;
-    const bool           usual = ending.status > 0 && ending.status < 400 && exchange.attempts == 1;
-    latencies.record(exchange.host, usual ? "answered" : ending.reason, took);
+    const bool           succeededAtOnce = ending.status > 0 && ending.status < 400 && exchange.attempts == 1;
+    trafficMetrics.record(exchange.host, succeededAtOnce ? "answered" : ending.reason, took);
     if (!exchange.route.empty())
-        stages.record(exchange.route, decision, turn);
-    events.write(ports::Level::Info, usual ? "request-answered" : "request-ended",
+        stageTimes.record(exchange.route, decision, turn);
+    events.write(ports::Level::Info, succeededAtOnce ? "request-answered" : "request-ended",
                  {{"request", exchange.id},
                   {"route", exchange.route},
                   {"workspace", exchange.workspace},
@@ -497,11 +502,11 @@
                   {"ms", core::toMilliseconds(took)},
                   {"decidedMs", core::toMilliseconds(decision)},
                   {"turnMs", core::toMilliseconds(turn)},
-                  {"tryingMs", core::toMilliseconds(exchange.trying)},
+                  {"tryingMs", core::toMilliseconds(exchange.triedFor)},
                   {"version", version},
                   {"attempts", exchange.attempts},
                   {"probes", exchange.probes},
-                  {"sends", exchange.trail}});
+                  {"sends", exchange.attemptLog}});
 }
 
 } // namespace sailpath::gateway
--- a/src/sailpath/gateway/StatusServer.cpp
+++ b/src/sailpath/gateway/StatusServer.cpp
@@ -11,15 +11,15 @@
 {
 namespace
 {
-constexpr std::uint32_t headLimit = 8192;
+constexpr std::uint32_t headLimit = 8192; // Bytes; also bounds the body
 
 ////////////////////////////////////////////////////////////
-/// \brief One asker's connection
+/// \brief Connection of one status client; serves its requests one after the other
 ////////////////////////////////////////////////////////////
-class Asker : public std::enable_shared_from_this<Asker>
+class StatusConnection : public std::enable_shared_from_this<StatusConnection>
 {
 public:
-    Asker(asio::ip::tcp::socket socket, const StatusServer::Pages& pages) :
+    StatusConnection(asio::ip::tcp::socket socket, const StatusServer::Pages& pages) :
     m_socket(std::move(socket)),
     m_pages(pages),
     m_reader(std::make_unique<http::MessageReader>(http::MessageKind::Request, headLimit, headLimit))
@@ -38,7 +38,7 @@
     }
 
 private:
-    void answer(const std::string& target)
+    void buildAnswer(const std::string& target)
     {
         const auto page = m_pages.find(target);
         if (page == m_pages.end())
@@ -62,7 +62,7 @@
         if (state != http::ReadState::Done)
             return;
         m_keep = m_reader->head().keepAlive;
-        answer(m_reader->head().target);
+        buildAnswer(m_reader->head().target);
         m_reader = std::make_unique<http::MessageReader>(http::MessageKind::Request, headLimit, headLimit);
         auto self = shared_from_this();
         asio::async_write(m_socket, asio::buffer(m_out),
@@ -73,13 +73,13 @@
                           });
     }
 
-    asio::ip::tcp::socket                m_socket;      //!< Connection
-    const StatusServer::Pages&           m_pages;       //!< What may be asked for
-    std::unique_ptr<http::MessageReader> m_reader;      //!< Of the question
-    std::array<char, 1024>               m_buffer{};    //!< Bytes as they come
-    std::string                          m_unread;      //!< Bytes not taken yet
-    std::string                          m_out;         //!< Answer
-    bool                                 m_keep{false}; //!< Another question may follow
+    asio::ip::tcp::socket                m_socket;      //!< Connection to the client
+    const StatusServer::Pages&           m_pages;       //!< Pages by path; owned by the server
+    std::unique_ptr<http::MessageReader> m_reader;      //!< Parser of the current request
+    std::array<char, 1024>               m_buffer{};    //!< Receive buffer
+    std::string                          m_unread;      //!< Received bytes that are not parsed yet
+    std::string                          m_out;         //!< Response being written
+    bool                                 m_keep{false}; //!< Keep the connection open after the response
 };
 
 } // namespace
@@ -101,7 +101,7 @@
             if (error == asio::error::operation_aborted)
                 return;
             if (!error)
-                std::make_shared<Asker>(std::move(socket), m_pages)->read();
+                std::make_shared<StatusConnection>(std::move(socket), m_pages)->read();
             accept();
         });
 }
--- a/src/sailpath/gateway/StatusServer.hpp
+++ b/src/sailpath/gateway/StatusServer.hpp
@@ -12,31 +12,31 @@
 namespace sailpath::gateway::priv
 {
 ////////////////////////////////////////////////////////////
-/// \brief What is answered to a question for one path
+/// \brief Response to a request for one status page
 ////////////////////////////////////////////////////////////
 struct StatusAnswer
 {
-    unsigned    status{200}; //!< 200 or 503
-    std::string body;        //!< Text
+    unsigned    status{200}; //!< HTTP status: 200 or 503
+    std::string body;        //!< Plain text
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Answers questions about this node: readiness, metrics
+/// \brief HTTP server for pages about this node, such as readiness and metrics
 ////////////////////////////////////////////////////////////
 class StatusServer
 {
 public:
-    using Pages = std::map<std::string, std::function<StatusAnswer()>, std::less<>>; //!< By path
+    using Pages = std::map<std::string, std::function<StatusAnswer()>, std::less<>>; //!< Page generators by path
 
     StatusServer(asio::io_context& context, const adapters::settings::Endpoint& listen, Pages pages);
 
-    [[nodiscard]] std::uint16_t port() const; //!< Where it listens
+    [[nodiscard]] std::uint16_t port() const; //!< Port that the server listens on
 
 private:
     void accept();
 
-    asio::ip::tcp::acceptor m_acceptor; //!< Listens
-    Pages                   m_pages;    //!< What may be asked for
+    asio::ip::tcp::acceptor m_acceptor; //!< Listening socket
+    Pages                   m_pages;    //!< Page generators by path
 };
 
 } // namespace sailpath::gateway::priv
