--- a/include/sailpath/gateway/Gateway.hpp
+++ b/include/sailpath/gateway/Gateway.hpp
@@ -68,7 +68,7 @@
     void onServerFailures(std::function<void(std::vector<std::uint32_t>)> handler);
 
     void receiveServerFailures(
-        std::span<const deployment::ServerFailure> failures); //!< Process server failures seen by other nodes
+        std::span<const deployment::ServerFailure> failures); //!< Process failures seen by other nodes
 
     ////////////////////////////////////////////////////////////
     /// \brief Set the callbacks for servers that crashed while running requests at this node, and for quarantines
@@ -79,7 +79,7 @@
     void onServerCrashes(std::function<void(deployment::CrashNews)>  newsHandler,
                          std::function<void(deployment::Quarantine)> quarantineHandler);
 
-    void receiveServerCrashes(const deployment::CrashNews& news); //!< Process server crashes seen by other nodes
+    void receiveServerCrashes(const deployment::CrashNews& news); //!< Process crashes seen by other nodes
 
     ////////////////////////////////////////////////////////////
     /// \brief Set the callback for limits that servers announced to this node, and the requests sent to such servers
@@ -88,11 +88,9 @@
     ////////////////////////////////////////////////////////////
     void onServerLimits(std::function<void(std::vector<deployment::LimitNews>)> handler);
 
-    void receiveServerLimits(
-        std::span<const deployment::LimitNews> news); //!< Process server limits and request counts from other nodes
+    void receiveServerLimits(std::span<const deployment::LimitNews> news); //!< Process limits seen by other nodes
 
-    void setAdditionalMetrics(
-        std::function<std::string()> generator); //!< Set the generator of text that is appended to the metrics page
+    void setAdditionalMetrics(std::function<std::string()> generator); //!< Set text appended to /metrics
 
     void startDraining(); //!< Begin a planned stop: report not ready and close connections with their next answer
     void closeIdle();     //!< Continue a planned stop: stop listening and close idle caller connections
--- a/include/sailpath/gateway/GatewaySettings.hpp
+++ b/include/sailpath/gateway/GatewaySettings.hpp
@@ -19,7 +19,7 @@
     std::optional<adapters::settings::Endpoint> metricsListen; //!< Address of the metrics pages; not served when empty
     core::Duration connectTimeout{std::chrono::milliseconds{300}}; //!< Time to establish a connection to a server
     core::Duration unacknowledgedTimeout{
-        std::chrono::milliseconds{2500}};                  //!< TCP user timeout of connections to servers
+        std::chrono::milliseconds{2500}}; //!< TCP user timeout (unacknowledged data) of server connections
     core::Duration maxServerIdle{std::chrono::seconds{6}}; //!< Idle time until a server connection is closed
     core::Duration maxIdleBeforeNonRepeatable{
         std::chrono::milliseconds{1500}}; //!< Longest idle time of a connection that may carry a non-repeatable request
--- a/src/sailpath/gateway/GatewayImpl.hpp
+++ b/src/sailpath/gateway/GatewayImpl.hpp
@@ -34,35 +34,30 @@
     void retryAccept(const std::string& reason);  //!< Free descriptors and accept again after a delay
     bool closeLongestIdleCaller();                //!< Return false when no caller is idle
     void scheduleSweep();                         //!< Close connections that exceed their times, at a fixed interval
-    void
-    detectStall(); //!< Detect that the event loop has not run for a while, for example because the VM was suspended
-    void armDueTimer();        //!< Set the timer for the next time at which the balancer has to act
-    void logBalancerChanges(); //!< Log what the balancer concluded about servers and requests
+    void detectStall();                           //!< Detect a pause of the event loop, such as a suspended VM
+    void armDueTimer();                           //!< Set the timer for the next time at which the balancer has to act
+    void logBalancerChanges();                    //!< Log what the balancer concluded about servers and requests
     void logLimit(const balance::LimitChange& change);
     void logNotice(const balance::NoticeChange& change);
-    void
-         recordNotice(const std::shared_ptr<const deployment::Instance>& instance, const balance::ServerNotice& notice,
-                      balance::NoticeSource source); //!< Process a notice of a server that it leaves or wants fewer requests
+    void recordNotice(const std::shared_ptr<const deployment::Instance>& instance, const balance::ServerNotice& notice,
+                      balance::NoticeSource source);   //!< Process a server's notice to leave or back off
     void recordQuotaRefusal(priv::Exchange& exchange); //!< Add the state of the exceeded quota to the log line
     void updateFleetContact(); //!< Tell the balancer the time of the last contact with other nodes
-    [[nodiscard]] std::string_view
-                              keyOf(const http::Head& head) const; //!< Workspace key; empty when absent or ambiguous
-    [[nodiscard]] std::string quotaList() const; //!< Page with one line per workspace that has a quota
-    void                      logUnknownFields(const deployment::Instance& instance,
-                                               const http::Head&           head); //!< Log fields that the gateway does not interpret
-    void                      performPendingSteps(); //!< Perform all steps of the balancer and publish its news
-    void                      performStep(const balance::Step& step);
-    void                      forward(const balance::Step& step);
-    void                      probe(const balance::Step& step);
-    void                      check(const balance::Step& step); //!< Test whether an instance accepts connections
+    [[nodiscard]] std::string_view keyOf(const http::Head& head) const; //!< Empty when absent or ambiguous
+    [[nodiscard]] std::string      quotaList() const; //!< Page with one line per workspace that has a quota
+    void logUnknownFields(const deployment::Instance& instance, const http::Head& head); //!< Log uninterpreted fields
+    void performPendingSteps(); //!< Perform all steps of the balancer and publish its news
+    void performStep(const balance::Step& step);
+    void forward(const balance::Step& step);
+    void probe(const balance::Step& step);
+    void check(const balance::Step& step); //!< Test whether an instance accepts connections
     void attemptEnded(balance::Ticket ticket, unsigned attempt, balance::Outcome outcome, priv::ServerAnswer answer);
     void finish(balance::Ticket ticket, const balance::Step& step);
-    void log(priv::Exchange& exchange); //!< Log and measure an exchange that has ended
-    void
-    recordQuarantineRefusal(priv::Exchange& exchange); //!< Count the refusal and add the quarantine to the log line
-    [[nodiscard]] std::string metrics() const;         //!< Page with metrics
-    [[nodiscard]] std::string quarantineList() const;  //!< Page with one line per quarantine
-    [[nodiscard]] std::string limitList() const;       //!< Page with one line per limited server
+    void log(priv::Exchange& exchange);                     //!< Log and measure an exchange that has ended
+    void recordQuarantineRefusal(priv::Exchange& exchange); //!< Count the refusal and log its quarantine
+    [[nodiscard]] std::string metrics() const;              //!< Page with metrics
+    [[nodiscard]] std::string quarantineList() const;       //!< Page with one line per quarantine
+    [[nodiscard]] std::string limitList() const;            //!< Page with one line per limited server
     [[nodiscard]] std::string noticeList() const; //!< Page with one line per server that leaves or asked to back off
 
     [[nodiscard]] balance::Ticket newTicket() override;
--- a/src/sailpath/gateway/UnknownFieldDetector.hpp
+++ b/src/sailpath/gateway/UnknownFieldDetector.hpp
@@ -12,8 +12,8 @@
 ////////////////////////////////////////////////////////////
 /// \brief Detects header fields in servers' answers that the gateway does not interpret
 ///
-/// A new version of a server may send fields that change how the server is
-/// to be treated. Such fields are reported so that operators see them.
+/// Servers may begin to send fields that change how the servers are to be
+/// treated; operators have to learn of fields that have no effect yet.
 ////////////////////////////////////////////////////////////
 class UnknownFieldDetector
 {
@@ -23,17 +23,13 @@
     ////////////////////////////////////////////////////////////
     /// \brief Find fields whose names are neither known nor reported yet
     ///
-    /// Each name is reported once, and the number of names per process is limited.
-    ///
-    /// \param head Head of a server's answer
-    ///
-    /// \return Unknown fields, with their values cut to a maximum length
+    /// Each name is reported once, and only a few names per process. Values are cut to a maximum length.
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::vector<http::HeaderField> detect(const http::Head& head);
 
 private:
-    std::set<std::string, std::less<>> m_known;             //!< Known or reported names, in the spelling seen
-    unsigned                           m_remainingNames{0}; //!< Number of names that may still be reported
+    std::set<std::string, std::less<>> m_known;   //!< Known or reported names, in the spelling seen
+    unsigned                           m_left{0}; //!< Number of names that may still be reported
 };
 
 } // namespace sailpath::gateway::priv
