--- a/test/gateway/Evacuation.test.cpp
+++ b/test/gateway/Evacuation.test.cpp
@@ -24,7 +24,7 @@
 
 BOOST_AUTO_TEST_SUITE(GatewayEvacuationTest)
 
-BOOST_AUTO_TEST_CASE(WhatIsAtAServerIsFinishedAndItsConnectionsAreClosed)
+BOOST_AUTO_TEST_CASE(ActiveRequestsFinishAndNewOnesAreRefused)
 {
     PatientFixture setup(
         [](const std::string& request)
--- a/test/gateway/Gateway.test.cpp
+++ b/test/gateway/Gateway.test.cpp
@@ -20,7 +20,7 @@
 
 BOOST_AUTO_TEST_SUITE(GatewayTest)
 
-BOOST_AUTO_TEST_CASE(ARequestIsPassedOnUnchangedAndItsAnswerComesBack)
+BOOST_AUTO_TEST_CASE(ARequestIsForwardedUnchangedAndItsAnswerReturned)
 {
     Fixture    setup;
     TestCaller caller(setup.gateway->port());
@@ -38,7 +38,7 @@
     BOOST_TEST(std::stoi(fieldOf(sent, "X-Left")) <= 700);
 }
 
-BOOST_AUTO_TEST_CASE(AnIdFollowsARequestThroughBothLogs)
+BOOST_AUTO_TEST_CASE(TheRequestIdReachesTheServerAndTheLog)
 {
     Fixture    setup([](const std::string& request)
                   { return Script{Fixture::okAnswer(fieldOf(request, "X-Id"), "x").replace(9, 3, "500")}; });
@@ -52,7 +52,7 @@
     BOOST_TEST(setup.log.text.find("i-1", at) != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(BodiesInChunksArriveWhole)
+BOOST_AUTO_TEST_CASE(ChunkedBodiesAreForwardedWhole)
 {
     Fixture    setup;
     TestCaller caller(setup.gateway->port());
@@ -62,7 +62,7 @@
     BOOST_TEST(fieldOf(setup.server.requests().at(0), "Content-Length") == "3");
 }
 
-BOOST_AUTO_TEST_CASE(AnAnswerOfAnotherRequestIsDroppedAndTheDueOneTaken)
+BOOST_AUTO_TEST_CASE(AnAnswerToAnotherRequestIsDroppedAndTheRightOneAccepted)
 {
     Fixture setup(
         [](const std::string& request)
@@ -84,7 +84,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(SuccessWithoutTheServersMarkIsNotPassedOn)
+BOOST_AUTO_TEST_CASE(SuccessWithoutTheServersSignatureIsNotPassedOn)
 {
     Fixture setup(
         [](const std::string& request)
@@ -94,7 +94,7 @@
     BOOST_TEST(statusOf(caller.readAnswer()) == 502);
 }
 
-BOOST_AUTO_TEST_CASE(AnAnswerCutShortIsNotPassedOnAsWhole)
+BOOST_AUTO_TEST_CASE(ATruncatedAnswerIsNotPassedOn)
 {
     Fixture setup(
         [](const std::string& request)
@@ -109,7 +109,7 @@
     BOOST_TEST(statusOf(caller.readAnswer()) == 502);
 }
 
-BOOST_AUTO_TEST_CASE(AnAnswerWithoutLengthIsWholeOnlyWhenItsConnectionEndsInOrder)
+BOOST_AUTO_TEST_CASE(AnAnswerWithoutLengthIsCompleteOnlyAfterAnOrderlyClose)
 {
     for (const bool reset : {false, true})
     {
@@ -127,7 +127,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(ARefusalWithoutTheServersMarkIsNoPromise)
+BOOST_AUTO_TEST_CASE(ARefusalWithoutTheServersSignatureIsNotTrusted)
 {
     Fixture setup(
         [](const std::string& request)
@@ -137,9 +137,9 @@
     BOOST_TEST(statusOf(caller.readAnswer()) == 502);
 }
 
-BOOST_AUTO_TEST_CASE(AFailureWithoutTheServersMarkIsNotPassedOnAsTheCallersFault)
+BOOST_AUTO_TEST_CASE(AnErrorWithoutTheServersSignatureIsNotPassedOnAsTheCallersFault)
 {
-    // Whoever sent it, to the caller a 3xx or 4xx without the mark is the gateway's own.
+    // To the caller, an unsigned 3xx or 4xx would look like an answer of the gateway itself.
     for (const std::string status : {"302", "400", "403", "404"})
     {
         Fixture setup(
@@ -154,7 +154,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(ARefusalWithTheServersMarkIsOneAndSaysWhenToComeBack)
+BOOST_AUTO_TEST_CASE(ARefusalByTheServerIsAnsweredWithRetryAfter)
 {
     Fixture setup(
         [](const std::string& request)
@@ -169,7 +169,7 @@
     BOOST_TEST(!fieldOf(answer, "Retry-After").empty());
 }
 
-BOOST_AUTO_TEST_CASE(ACallerThatHangsUpIsCancelledAtTheServer)
+BOOST_AUTO_TEST_CASE(ADisconnectOfTheCallerCancelsTheRequestAtTheServer)
 {
     Fixture setup(
         [](const std::string&)
@@ -188,7 +188,7 @@
     BOOST_TEST(setup.server.hangUps() >= 1U);
 }
 
-BOOST_AUTO_TEST_CASE(AtTheRoutesTimeTheFinalAnswerComes)
+BOOST_AUTO_TEST_CASE(TheRouteTimeoutIsAnsweredWith504)
 {
     Fixture setup(
         [](const std::string&)
@@ -202,7 +202,7 @@
     BOOST_TEST(statusOf(caller.readAnswer()) == 504);
 }
 
-BOOST_AUTO_TEST_CASE(SlowCallersOfOneWorkspaceHoldNobodyElse)
+BOOST_AUTO_TEST_CASE(SlowCallersOfOneWorkspaceDoNotBlockOthers)
 {
     Fixture                                  setup;
     std::vector<std::unique_ptr<TestCaller>> slow;
@@ -217,7 +217,7 @@
     BOOST_TEST(statusOf(other.readAnswer()) == 200);
 }
 
-BOOST_AUTO_TEST_CASE(LimitsOfTheOperatorsHold)
+BOOST_AUTO_TEST_CASE(LimitsOfTheOperatorsAreEnforced)
 {
     Fixture    setup;
     TestCaller head(setup.gateway->port());
@@ -233,7 +233,7 @@
     BOOST_TEST(idle.ended());
 }
 
-BOOST_AUTO_TEST_CASE(BodiesTogetherAreBounded)
+BOOST_AUTO_TEST_CASE(TheMemoryForAllBodiesIsBounded)
 {
     Fixture                                  setup;
     std::vector<std::unique_ptr<TestCaller>> callers;
@@ -252,7 +252,7 @@
     BOOST_TEST(refused == 1);
 }
 
-BOOST_AUTO_TEST_CASE(SlowBodiesOfOneWorkspaceKeepNobodyElseOut)
+BOOST_AUTO_TEST_CASE(SlowBodiesOfOneWorkspaceDoNotBlockOthers)
 {
     Fixture                                  setup;
     std::vector<std::unique_ptr<TestCaller>> slow;
@@ -272,7 +272,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(APlannedStopAnswersWhatIsUnderWayAndIsNotReady)
+BOOST_AUTO_TEST_CASE(APlannedStopFinishesActiveRequestsAndReportsNotReady)
 {
     Fixture setup(
         [](const std::string& request)
@@ -300,7 +300,7 @@
     BOOST_TEST(idle.ended());
 }
 
-BOOST_AUTO_TEST_CASE(WhatIsUnderWayOutlivesItsServersEntryAndItsRoute)
+BOOST_AUTO_TEST_CASE(AnActiveRequestSurvivesTheRemovalOfItsServerOrRoute)
 {
     for (const char* path : {"/pay/x", "/read/x"})
     {
@@ -332,7 +332,7 @@
             setup.onLoop([&] { setup.gateway->configure(setup.declared); });
             BOOST_TEST(statusOf(caller.readAnswer()) == 200, path << " change " << change);
             BOOST_TEST(setup.server.requests().size() == 1U);
-            // The caller's connection is kept, and the next request finds no server.
+            // The connection of the caller stays open, and the next request finds no server or route.
             caller.write(Fixture::request(path, "a2"));
             const std::string next = caller.readAnswer();
             BOOST_TEST(statusOf(next) == (change == 2 ? 404 : 503));
@@ -341,7 +341,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(GarbageFromAServerIsNoAnswer)
+BOOST_AUTO_TEST_CASE(MalformedBytesFromAServerAreNotAnAnswer)
 {
     Fixture    setup([](const std::string&) { return Script{std::string("\x01\x02\x03\r\n\r\nxx"), 0ms, true}; });
     TestCaller caller(setup.gateway->port());
@@ -351,10 +351,10 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-// A proper request gets no 3xx or 4xx of the gateway's own, save 408, 421 and 429.
+// The gateway itself answers a valid request with no 3xx or 4xx status except 408, 421 and 429.
 BOOST_AUTO_TEST_SUITE(GatewayProperRequestTest)
 
-BOOST_AUTO_TEST_CASE(ADenialWithTheServersMarkIsPassedOnUnchanged)
+BOOST_AUTO_TEST_CASE(A3xxOr4xxWithTheServersSignatureIsPassedOnUnchanged)
 {
     for (const int status : {302, 400, 404, 409, 413})
     {
@@ -370,7 +370,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(ADenialThatSaysItDidNotRunBecomesARefusal)
+BOOST_AUTO_TEST_CASE(A4xxForARequestThatDidNotRunBecomesARefusal)
 {
     for (const std::string head :
          {"421 Misdirected\r\n", "421 Misdirected\r\nX-Not-Run: 1\r\n", "400 No\r\nX-Not-Run: 1\r\n",
@@ -398,7 +398,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(RequestsInARowAreAllServedHoweverTheyAreCut)
+BOOST_AUTO_TEST_CASE(PipelinedRequestsAreServedForAnySegmentation)
 {
     PatientFixture setup;
     TestCaller     caller(setup.gateway->port());
@@ -424,7 +424,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(LimitsThatRiseHoldForTheNextRequestOfAKeptConnection)
+BOOST_AUTO_TEST_CASE(RaisedLimitsApplyToTheNextRequestOnAnOpenConnection)
 {
     PatientFixture setup;
     TestCaller     caller(setup.gateway->port());
@@ -437,7 +437,7 @@
     BOOST_TEST(statusOf(caller.readAnswer()) == 200);
 }
 
-BOOST_AUTO_TEST_CASE(LimitsThatSinkSpareWhatWasBegunBefore)
+BOOST_AUTO_TEST_CASE(LoweredLimitsDoNotApplyToARequestAlreadyBegun)
 {
     PatientFixture    setup;
     TestCaller        caller(setup.gateway->port());
@@ -450,13 +450,13 @@
     BOOST_TEST(statusOf(caller.readAnswer()) == 200);
 }
 
-BOOST_AUTO_TEST_CASE(BeforeTheFirstConfigurationTheAnswerIsComeBackLater)
+BOOST_AUTO_TEST_CASE(BeforeTheFirstConfigurationRequestsGet503)
 {
     PatientFixture setup(Fixture::echo, false);
     TestCaller     caller(setup.gateway->port());
     caller.write(Fixture::request("/read/x", "a1"));
     BOOST_TEST(statusOf(caller.readAnswer()) == 503);
-    // Servers alone are no configuration.
+    // A list of servers without a deployment does not count as a configuration.
     setup.declared.instances = {{"i-1", "portal", "127.0.0.1", setup.server.port(), "dc", 3, false, {}}};
     setup.onLoop([&] { setup.gateway->configure(setup.declared); });
     caller.write(Fixture::request("/read/x", "a2"));
@@ -466,7 +466,7 @@
     BOOST_TEST(statusOf(caller.readAnswer()) == 200);
 }
 
-BOOST_AUTO_TEST_CASE(ADenialWithoutTheServersMarkIsNotPassedOn)
+BOOST_AUTO_TEST_CASE(A3xxOr4xxWithoutTheServersSignatureIsNotPassedOn)
 {
     for (const bool withId : {false, true})
     {
@@ -487,7 +487,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(ADenialWithoutTheServersMarkIsTriedElsewhereWhenItMayBe)
+BOOST_AUTO_TEST_CASE(A4xxWithoutTheServersSignatureIsRetriedWhenRepeatable)
 {
     std::atomic<bool> denies{false};
     PatientFixture    setup(
@@ -506,17 +506,17 @@
             BOOST_TEST(statusOf(caller.readAnswer()) == 200);
         }
     };
-    // What is served first earns the budget for sending again, and makes this server the better known.
+    // The first requests fill the retry budget, and give the balancer experience with this server.
     serves(60);
     denies = true;
-    ScriptedServer sound(Fixture::echo);
-    setup.declared.instances.push_back({"i-2", "portal", "127.0.0.1", sound.port(), "dc", 3, false, {}});
+    ScriptedServer healthy(Fixture::echo);
+    setup.declared.instances.push_back({"i-2", "portal", "127.0.0.1", healthy.port(), "dc", 3, false, {}});
     setup.onLoop([&] { setup.gateway->configure(setup.declared); });
     serves(8);
     BOOST_TEST(setup.server.requests().size() > 60U);
 }
 
-BOOST_AUTO_TEST_CASE(BeforeTheFirstConfigurationNoLimitDenies)
+BOOST_AUTO_TEST_CASE(BeforeTheFirstConfigurationLargeRequestsGet503)
 {
     PatientFixture setup(Fixture::echo, false);
     TestCaller     head(setup.gateway->port());
@@ -527,7 +527,7 @@
     BOOST_TEST(statusOf(body.readAnswer()) == 503);
 }
 
-BOOST_AUTO_TEST_CASE(AHeadBegunBeforeTheFirstConfigurationIsHeldToItsLimits)
+BOOST_AUTO_TEST_CASE(AHeadBegunBeforeTheFirstConfigurationIsCheckedAgainstItsLimits)
 {
     PatientFixture    setup(Fixture::echo, false);
     TestCaller        caller(setup.gateway->port());
@@ -549,14 +549,14 @@
     std::this_thread::sleep_for(50ms);
     caller.write("\n" + Fixture::request("/read/x", "a2"));
     BOOST_TEST(statusOf(caller.readAnswer()) == 200);
-    // A connection with no more than these on it rests as one without.
+    // A connection that received only empty lines since its last answer counts as idle.
     caller.write("\r\n");
     std::this_thread::sleep_for(1200ms);
     caller.write(Fixture::request("/read/x", "a3"));
     BOOST_TEST(statusOf(caller.readAnswer()) == 200);
 }
 
-BOOST_AUTO_TEST_CASE(ATargetMayNameTheHostInFull)
+BOOST_AUTO_TEST_CASE(AnAbsoluteFormTargetIsAccepted)
 {
     PatientFixture setup;
     TestCaller     caller(setup.gateway->port());
--- a/test/gateway/Keys.test.cpp
+++ b/test/gateway/Keys.test.cpp
@@ -9,9 +9,9 @@
 using support::Fixture;
 
 ////////////////////////////////////////////////////////////
-/// \brief Answers with the head that the server got, as its body
+/// \brief Build an answer whose body is the request head that the server received
 ////////////////////////////////////////////////////////////
-support::Script tellHead(const std::string& request)
+support::Script echoHead(const std::string& request)
 {
     return {Fixture::okAnswer(fieldOf(request, "X-Id"), request)};
 }
@@ -20,7 +20,7 @@
 struct KeyFixture : support::PatientFixture
 {
     KeyFixture() :
-    PatientFixture(tellHead)
+    PatientFixture(echoHead)
     {
         deployment::Deployment changed = *declared.deployment;
         ++changed.version;
@@ -29,10 +29,10 @@
         onLoop([this] { gateway->configure(declared); });
     }
 
-    std::string answerTo(const std::string& more)
+    std::string answerWithFields(const std::string& headerLines)
     {
         support::TestCaller caller(gateway->port());
-        caller.write(request("/read/x", "1", more));
+        caller.write(request("/read/x", "1", headerLines));
         return caller.readAnswer();
     }
 };
@@ -41,19 +41,19 @@
 
 BOOST_FIXTURE_TEST_SUITE(KeysTest, KeyFixture)
 
-BOOST_AUTO_TEST_CASE(AServerIsToldTheWorkspaceAndNeverTheKey)
+BOOST_AUTO_TEST_CASE(AServerGetsTheWorkspaceAndNeverTheKey)
 {
-    const std::string answer = answerTo("X-Key: k1\r\nX-Workspace: south\r\n");
+    const std::string answer = answerWithFields("X-Key: k1\r\nX-Workspace: south\r\n");
     BOOST_TEST(support::statusOf(answer) == 200);
     BOOST_TEST(answer.find("X-Workspace: north") != std::string::npos);
     BOOST_TEST(answer.find("south") == std::string::npos);
     BOOST_TEST(answer.find("k1") == std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(WithoutAKeyOrWithAnotherOrWithTwoARequestIsUnauthorized)
+BOOST_AUTO_TEST_CASE(AMissingUnknownOrDuplicateKeyIsUnauthorized)
 {
     for (const char* more : {"", "X-Key: k2\r\n", "X-Key: k1\r\nX-Key: k2\r\n", "X-Workspace: north\r\n"})
-        BOOST_TEST(support::statusOf(answerTo(more)) == 401, more);
+        BOOST_TEST(support::statusOf(answerWithFields(more)) == 401, more);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/gateway/ServerLimits.test.cpp
+++ b/test/gateway/ServerLimits.test.cpp
@@ -8,7 +8,7 @@
 using namespace sailpath::support;
 
 ////////////////////////////////////////////////////////////
-/// \brief A gateway before a server that adds to each answer the lines that a test says
+/// \brief A gateway in front of a server whose answers carry header lines set by the test
 ////////////////////////////////////////////////////////////
 struct LimitFixture
 {
@@ -22,23 +22,24 @@
         const std::lock_guard<std::mutex> lock(mutex);
         const std::string                 id = fieldOf(request, "X-Id");
         if (fails)
-            return {"HTTP/1.1 500 Oops\r\nX-Id: " + id + "\r\nX-Mark: m\r\n" + lines + "Content-Length: 0\r\n\r\n"};
-        return {Fixture::okAnswer(id, "body", lines)};
+            return {"HTTP/1.1 500 Oops\r\nX-Id: " + id + "\r\nX-Mark: m\r\n" + headerLines +
+                    "Content-Length: 0\r\n\r\n"};
+        return {Fixture::okAnswer(id, "body", headerLines)};
     }
 
-    void ask(const std::string& more, bool failing = false)
+    void ask(const std::string& lines, bool failing = false)
     {
         {
             const std::lock_guard<std::mutex> lock(mutex);
-            lines = more;
+            headerLines = lines;
             fails = failing;
         }
-        // A limited server takes a request now and then; the others are refused.
+        // A limited server gets a request now and then; the gateway refuses the others.
         for (int tries = 0; tries < 200; ++tries)
         {
             TestCaller caller(fixture.gateway->port());
             caller.write(Fixture::request("/pay/1", "r" + std::to_string(++asked), {}, "POST"));
-            // What is believed is logged in the same run of the loop as the answer is written.
+            // The gateway logs a changed limit in the same run of the event loop in which it writes the answer.
             const int status = statusOf(caller.readAnswer());
             fixture.onLoop([] {});
             if (status != 503)
@@ -58,7 +59,7 @@
     }
 
     std::mutex  mutex;
-    std::string lines;
+    std::string headerLines;
     bool        fails{false};
     unsigned    asked{0};
     Fixture     fixture;
@@ -68,7 +69,7 @@
 
 BOOST_AUTO_TEST_SUITE(ServerLimitsTest)
 
-BOOST_FIXTURE_TEST_CASE(ALimitIsReadOnAnyAnswerAndItsEndIsSeen, LimitFixture)
+BOOST_FIXTURE_TEST_CASE(ALimitIsReadFromAnyAnswerAndEndsWhenItIsMissing, LimitFixture)
 {
     ask("X-Limit: 3.5\r\n");
     BOOST_TEST(count("server-limited instance=i-1 service=portal perSecond=3.5") == 1U);
@@ -80,7 +81,7 @@
     BOOST_TEST(count("server-unlimited instance=i-1") == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(OfTwoValuesTheLowerHoldsAndWhatCannotBeReadChangesNothing, LimitFixture)
+BOOST_FIXTURE_TEST_CASE(TheLowerOfTwoLimitsAppliesAndMalformedOnesAreIgnored, LimitFixture)
 {
     ask("X-Limit: 9\r\nlimit: 4\r\n");
     BOOST_TEST(count("perSecond=4") == 1U);
@@ -90,7 +91,7 @@
     BOOST_TEST(count("server-limited") == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(AFieldThatNobodyReadsIsWorthOneLine, LimitFixture)
+BOOST_FIXTURE_TEST_CASE(AnUnknownFieldIsLoggedOnce, LimitFixture)
 {
     ask("X-Mood: low\r\nContent-Type: text/plain\r\n");
     ask("X-Mood: high\r\n");
--- a/test/gateway/ServerNotices.test.cpp
+++ b/test/gateway/ServerNotices.test.cpp
@@ -8,7 +8,7 @@
 using namespace sailpath::support;
 
 ////////////////////////////////////////////////////////////
-/// \brief A gateway before a server that answers as a test says
+/// \brief A gateway in front of a server whose answers are set by the test
 ////////////////////////////////////////////////////////////
 struct NoticeFixture
 {
@@ -24,20 +24,21 @@
             return {"HTTP/1.1 200 OK\r\n" + health + "Content-Length: 0\r\n\r\n"};
         const std::string id = fieldOf(request, "X-Id");
         const std::string known = omitsId ? std::string() : "X-Id: " + id + "\r\n";
-        const std::string body = "HTTP/1.1 " + status + "\r\n" + known + "X-Mark: m\r\n" + lines +
-                                 "Content-Length: " + std::to_string(length) + "\r\n\r\n" + std::string(sent, 'b');
-        return {body, delay, sent < length};
+        const std::string body = "HTTP/1.1 " + status + "\r\n" + known + "X-Mark: m\r\n" + headerLines +
+                                 "Content-Length: " + std::to_string(contentLength) + "\r\n\r\n" +
+                                 std::string(sentBodyBytes, 'b');
+        return {body, delay, sentBodyBytes < contentLength};
     }
 
-    /// \brief Let one request be answered with a status and further lines
-    void ask(const std::string& answerStatus, const std::string& more)
+    /// \brief Have one request answered with the given status and header lines
+    void ask(const std::string& answerStatus, const std::string& lines)
     {
         {
             const std::lock_guard<std::mutex> lock(mutex);
             status = answerStatus;
-            lines = more;
+            headerLines = lines;
         }
-        // After refusals the gateway sends only now and then.
+        // After refusals the gateway sends requests only now and then.
         const std::size_t before = fixture.server.requests().size();
         for (int tries = 0; tries < 200 && fixture.server.requests().size() == before; ++tries)
         {
@@ -61,14 +62,14 @@
 
     std::mutex  mutex;
     std::string status{"200 OK"};
-    std::string lines;
-    std::string health; //!< Lines of health answers
+    std::string headerLines;
+    std::string health; //!< Header lines of health answers
     bool        omitsId{false};
-    std::size_t length{0}; //!< That the head tells
-    std::size_t sent{0};   //!< Bytes of the body that follow
+    std::size_t contentLength{0}; //!< Content-Length of the answer, in bytes
+    std::size_t sentBodyBytes{0}; //!< Bytes of the body that are sent
     unsigned    asked{0};
 
-    std::chrono::milliseconds delay{0}; //!< Before an answer
+    std::chrono::milliseconds delay{0}; //!< Time from a request to its answer
     Fixture                   fixture;
 };
 
@@ -76,7 +77,7 @@
 
 BOOST_AUTO_TEST_SUITE(ServerNoticesTest)
 
-BOOST_FIXTURE_TEST_CASE(AServerThatLeavesIsLoggedOnce, NoticeFixture)
+BOOST_FIXTURE_TEST_CASE(ALeavingServerIsLoggedOnce, NoticeFixture)
 {
     ask("200 OK", "X-Leaving: no\r\n");
     BOOST_TEST(count("server-leaving") == 0U);
@@ -86,7 +87,7 @@
     BOOST_TEST(count("server-leaving") == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(AServerThatLeavesGetsNothingOnceItsGraceIsOver, NoticeFixture)
+BOOST_FIXTURE_TEST_CASE(ALeavingServerGetsNoRequestsAfterItsGracePeriod, NoticeFixture)
 {
     ask("200 OK", "X-Leaving: yes\r\n");
     std::this_thread::sleep_for(1100ms);
@@ -99,11 +100,11 @@
     BOOST_TEST(fixture.server.requests().size() == before);
 }
 
-BOOST_FIXTURE_TEST_CASE(ANoticeOnAnAnswerThatNobodyWaitsForHolds, NoticeFixture)
+BOOST_FIXTURE_TEST_CASE(ANoticeOnAnAnswerToADisconnectedCallerCounts, NoticeFixture)
 {
     {
         const std::lock_guard<std::mutex> lock(mutex);
-        lines = "X-Leaving: yes\r\n";
+        headerLines = "X-Leaving: yes\r\n";
         delay = 300ms;
     }
     {
@@ -118,7 +119,7 @@
     BOOST_TEST(count("server-leaving instance=i-1") == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(AServerThatAsksForABackOffGetsNothingUntilItIsOver, NoticeFixture)
+BOOST_FIXTURE_TEST_CASE(AServerThatAsksForABackOffGetsNoRequestsUntilItIsOver, NoticeFixture)
 {
     ask("503 Full", "X-Not-Run: full\r\nRetry-After: 0.6\r\n");
     const std::size_t before = fixture.server.requests().size();
@@ -126,7 +127,7 @@
     {
         const std::lock_guard<std::mutex> lock(mutex);
         status = "200 OK";
-        lines.clear();
+        headerLines.clear();
     }
     int refused = 0;
     while (fixture.server.requests().size() == before && refused < 200)
@@ -143,7 +144,7 @@
     BOOST_TEST(count("reason=all-back-off") > 0U);
 }
 
-BOOST_FIXTURE_TEST_CASE(HealthAnswersAreHeardToo, NoticeFixture)
+BOOST_FIXTURE_TEST_CASE(NoticesOnHealthAnswersCount, NoticeFixture)
 {
     fixture.onLoop(
         [this]
@@ -165,7 +166,7 @@
     BOOST_TEST(count("server-leaving instance=i-1 service=portal source=health-answer") == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(AnswersOfOthersAreNoNotices, NoticeFixture)
+BOOST_FIXTURE_TEST_CASE(NoticesOnAnswersOfOtherInstancesAreIgnored, NoticeFixture)
 {
     ask("421 Misdirected", "X-Not-Run: other\r\nX-Leaving: yes\r\n");
     ask("200 OK", "X-Who: i-2\r\nX-Leaving: yes\r\n");
@@ -174,15 +175,15 @@
     BOOST_TEST(count("server-leaving") == 0U);
 }
 
-BOOST_FIXTURE_TEST_CASE(AnAnswerThatIsCutShortIsHeard, NoticeFixture)
+BOOST_FIXTURE_TEST_CASE(ANoticeOnATruncatedAnswerCounts, NoticeFixture)
 {
-    length = 1000;
-    sent = 10;
+    contentLength = 1000;
+    sentBodyBytes = 10;
     ask("200 OK", "X-Leaving: yes\r\n");
     BOOST_TEST(count("server-leaving instance=i-1") == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(OnlyWhatTurnsAwayAsksForABackOff, NoticeFixture)
+BOOST_FIXTURE_TEST_CASE(OnlyA503WithAValidRetryAfterSetsABackOff, NoticeFixture)
 {
     ask("200 OK", "Retry-After: 2\r\n");
     ask("429 Slow", "X-Not-Run: full\r\nRetry-After: 2\r\n");
--- a/test/gateway/StoodStill.test.cpp
+++ b/test/gateway/StoodStill.test.cpp
@@ -1,4 +1,4 @@
-// The gateway's loop stands still for a while, as it does when its VM is suspended; callers go on sending.
+// The event loop of the gateway stalls, as it does when its VM is suspended, while callers go on sending requests.
 
 #include <support/GatewayFixture.hpp>
 
@@ -16,7 +16,7 @@
 using support::TestCaller;
 
 ////////////////////////////////////////////////////////////
-/// \brief A caller's request that waits so long and no longer
+/// \brief Build a request whose caller waits for the given time
 ////////////////////////////////////////////////////////////
 std::string requestWithin(const std::string& id, int milliseconds)
 {
@@ -36,7 +36,7 @@
 
 BOOST_AUTO_TEST_SUITE(StoodStillTest)
 
-BOOST_AUTO_TEST_CASE(WhatArrivedMeanwhileIsNotSentOnPastItsTime)
+BOOST_AUTO_TEST_CASE(ARequestThatExpiredDuringAStallIsNotSent)
 {
     PatientFixture setup;
     TestCaller     impatient(setup.gateway->port());
@@ -45,14 +45,14 @@
     BOOST_TEST(statusOf(impatient.readAnswer()) == 200);
     patient.write(requestWithin("b1", 5000));
     BOOST_TEST(statusOf(patient.readAnswer()) == 200);
-    std::promise<void> standing;
+    std::promise<void> stalled;
     asio::post(setup.context,
                [&]
                {
-                   standing.set_value();
+                   stalled.set_value();
                    std::this_thread::sleep_for(1600ms);
                });
-    standing.get_future().wait();
+    stalled.get_future().wait();
     impatient.write(requestWithin("a2", 600));
     patient.write(requestWithin("b2", 5000));
     BOOST_TEST(statusOf(impatient.readAnswer()) == 503);
--- a/test/gateway/crashes/RequestsThatEndServers.test.cpp
+++ b/test/gateway/crashes/RequestsThatEndServers.test.cpp
@@ -1,12 +1,9 @@
-// Two requests ended 26 and 28 servers of one service within a minute, each by coming again every two seconds, at
-// another node each time. Every try was sent to two servers, as a lost request that may be repeated is sent again, and
-// nothing that a node knew of servers said that it was the same request each time: its id was new. The lines that
-// settled it are of the fourth try and on, at three nodes, each with both servers gone:
-//
-//   event=request-ended status=502 reason=outcome-unknown attempts=2 sends="1:i-28d787bf7f@19ms/expected=189ms,
-//   end1=lost/0@116ms,2:i-9dd93d0e0b@128ms/expected=321ms,end2=lost/0@245ms"
-//
-// In the nodes' logs 31 requests had lost their first server and 14 a further one.
+// Guards against requests that crash servers one after the other. In one incident, two requests ended 26 and 28 servers
+// of one service within a minute. Their callers repeated each request every two seconds, at another node each time, and
+// the gateway sent each try to two servers, because a lost repeatable request is retried once. Each try had a new request
+// id, so that the nodes could not recognise the request. The log lines of the incident, from the fourth try on, at three
+// nodes, had status=502 reason=outcome-unknown attempts=2, and both attempts had ended as lost. 31 requests had lost
+// their first server and 14 a further one.
 
 #include <support/EndingServer.hpp>
 #include <support/GatewayFixture.hpp>
@@ -24,11 +21,11 @@
 using support::statusOf;
 using support::TestCaller;
 
-constexpr std::size_t mostEnded = 3; // Servers that one request may end before it is known for it
+constexpr std::size_t maxEnded = 3; // Servers that one request may end before it is quarantined
 constexpr int         tries = 8;
 
 ////////////////////////////////////////////////////////////
-/// \brief A gateway before many servers that requests may end
+/// \brief A gateway in front of 16 servers that requests can crash
 ////////////////////////////////////////////////////////////
 struct EndingFixture : support::PatientFixture
 {
@@ -64,21 +61,21 @@
 
 BOOST_AUTO_TEST_SUITE(RequestsThatEndServersTest)
 
-BOOST_AUTO_TEST_CASE(OneThatMayBeRepeatedEndsThreeHoweverOftenItComes)
+BOOST_AUTO_TEST_CASE(ARepeatableRequestEndsAtMostThreeServers)
 {
     EndingFixture setup;
     for (int i = 0; i < tries; ++i)
         BOOST_TEST(setup.ask("/read/ends", "r" + std::to_string(i)) >= 500);
-    BOOST_TEST(setup.ended() <= mostEnded);
+    BOOST_TEST(setup.ended() <= maxEnded);
     BOOST_TEST(setup.ask("/read/fine", "f") == 200);
 }
 
-BOOST_AUTO_TEST_CASE(OneThatMayNotBeRepeatedEndsThreeHoweverOftenItComes)
+BOOST_AUTO_TEST_CASE(ANonRepeatableRequestEndsAtMostThreeServers)
 {
     EndingFixture setup;
     for (int i = 0; i < tries; ++i)
         BOOST_TEST(setup.ask("/pay/ends", "p" + std::to_string(i), "POST") >= 500);
-    BOOST_TEST(setup.ended() <= mostEnded);
+    BOOST_TEST(setup.ended() <= maxEnded);
     BOOST_TEST(setup.ask("/pay/fine", "f", "POST") == 200);
 }
 
--- a/test/support/GatewayFixture.hpp
+++ b/test/support/GatewayFixture.hpp
@@ -19,7 +19,7 @@
 using namespace std::chrono_literals;
 
 ////////////////////////////////////////////////////////////
-/// \brief Keeps what is logged, as text
+/// \brief Event log that keeps all events as text, one line each
 ////////////////////////////////////////////////////////////
 class TextLog : public ports::EventLog
 {
@@ -69,14 +69,14 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief A gateway on its loop's thread, before one scripted server
+/// \brief A gateway on a thread of its own, in front of one scripted server
 ////////////////////////////////////////////////////////////
 struct Fixture
 {
     explicit Fixture(ScriptedServer::Answer answer = echo, bool configured = true,
-                     core::Duration longest = core::Duration(700ms), std::size_t callerLimit = 3000) :
+                     core::Duration routeTimeout = core::Duration(700ms), std::size_t callerLimit = 3000) :
     server(std::move(answer)),
-    timeout(longest)
+    timeout(routeTimeout)
     {
         gateway::GatewaySettings settings;
         settings.listen = {"127.0.0.1", 0};
@@ -139,16 +139,16 @@
         done.get_future().wait();
     }
 
-    static std::string request(const std::string& path, const std::string& id, const std::string& more = {},
+    static std::string request(const std::string& path, const std::string& id, const std::string& headerLines = {},
                                const std::string& method = "GET")
     {
-        return method + " " + path + " HTTP/1.1\r\nHost: a.example\r\nX-Id: " + id + "\r\nX-Left: 5000\r\n" + more +
-               "\r\n";
+        return method + " " + path + " HTTP/1.1\r\nHost: a.example\r\nX-Id: " + id + "\r\nX-Left: 5000\r\n" +
+               headerLines + "\r\n";
     }
 
-    static std::string okAnswer(const std::string& id, const std::string& body, const std::string& more = {})
+    static std::string okAnswer(const std::string& id, const std::string& body, const std::string& headerLines = {})
     {
-        return "HTTP/1.1 200 OK\r\nX-Id: " + id + "\r\nX-Mark: m\r\n" + more +
+        return "HTTP/1.1 200 OK\r\nX-Id: " + id + "\r\nX-Mark: m\r\n" + headerLines +
                "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     }
 
@@ -161,14 +161,14 @@
     gateway::Dialect                dialect{testDialect()};
     ScriptedServer                  server;
     core::Duration                  timeout;
-    unsigned                        slots{3}; //!< Of the server
+    unsigned                        slots{3}; //!< Requests that the server runs at once
     asio::io_context                context{1};
     std::optional<gateway::Gateway> gateway;
     deployment::Declared            declared;
     std::thread                     thread;
 };
 
-/// \brief For tests that are not about time: also a busy machine answers within it
+/// \brief Fixture with a long route timeout, for tests that must pass on a busy machine
 struct PatientFixture : Fixture
 {
     explicit PatientFixture(ScriptedServer::Answer answer = echo, bool configured = true) :
