--- a/src/sailpath/gateway/ServerConnections.cpp
+++ b/src/sailpath/gateway/ServerConnections.cpp
@@ -25,7 +25,7 @@
     for (const auto& connection : list)
     {
         const core::Duration limit =
-            recentlyUsed ? std::min(m_settings.provenFor, idleLimit(*connection)) : idleLimit(*connection);
+            recentlyUsed ? std::min(m_settings.maxIdleBeforeNonRepeatable, idleLimit(*connection)) : idleLimit(*connection);
         const bool usable = connection->idle() && connection->idleTime() < limit &&
                             deployment::sameLife(connection->instance(), *instance);
         if (usable && (!best || connection->idleTime() < best->idleTime()))
@@ -56,7 +56,7 @@
 core::Duration ServerConnections::idleLimit(const ServerConnection& connection) const
 {
     const core::Duration declaredLimit = connection.keepAliveTimeout() * 6 / 10;
-    return declaredLimit.count() > 0 ? std::min(declaredLimit, m_settings.serverIdle) : m_settings.serverIdle;
+    return declaredLimit.count() > 0 ? std::min(declaredLimit, m_settings.maxServerIdle) : m_settings.maxServerIdle;
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/gateway/FieldWatch.cpp
+++ b/src/sailpath/gateway/UnknownFieldDetector.cpp
@@ -1,4 +1,4 @@
-#include "FieldWatch.hpp"
+#include "UnknownFieldDetector.hpp"
 
 #include <array>
 
@@ -6,10 +6,10 @@
 {
 namespace
 {
-constexpr unsigned    mostNames = 16;   // In a life: one line each
-constexpr std::size_t longestName = 64; // Of a name or a value that is kept and logged
+constexpr unsigned    maxNames = 16;      // Names reported per process; each is one log line
+constexpr std::size_t maxTextLength = 64; // Bytes of a reported name or value
 
-// Of HTTP; read by the parser, by us, or of no concern to who passes an answer on.
+// Standard HTTP fields that the parser or the gateway reads, or that do not matter to a proxy.
 constexpr std::array<std::string_view, 18> common{"Connection",
                                                   "Content-Length",
                                                   "Content-Type",
@@ -32,9 +32,9 @@
 } // namespace
 
 ////////////////////////////////////////////////////////////
-FieldWatch::FieldWatch(const Dialect& dialect) :
+UnknownFieldDetector::UnknownFieldDetector(const Dialect& dialect) :
 m_known(common.begin(), common.end()),
-m_left(mostNames)
+m_left(maxNames)
 {
     for (const std::string* name : {&dialect.requestId, &dialect.instanceId, &dialect.signature, &dialect.notExecuted,
                                     &dialect.load, &dialect.warmUpMs})
@@ -44,18 +44,18 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<http::HeaderField> FieldWatch::unknown(const http::Head& head)
+std::vector<http::HeaderField> UnknownFieldDetector::detect(const http::Head& head)
 {
     std::vector<http::HeaderField> found;
     if (m_left == 0)
         return found;
     for (const http::HeaderField& field : head.fields)
     {
-        if (m_left == 0 || field.name.size() > longestName || m_known.contains(field.name))
+        if (m_left == 0 || field.name.size() > maxTextLength || m_known.contains(field.name))
             continue;
         m_known.insert(field.name);
         --m_left;
-        found.push_back({field.name, field.value.substr(0, longestName)});
+        found.push_back({field.name, field.value.substr(0, maxTextLength)});
     }
     return found;
 }
--- a/test/gateway/Evacuation.test.cpp
+++ b/test/gateway/Evacuation.test.cpp
@@ -24,12 +24,12 @@
 
 BOOST_AUTO_TEST_SUITE(GatewayEvacuationTest)
 
-BOOST_AUTO_TEST_CASE(WhatIsAtAServerIsFinishedAndItsConnectionsAreClosed)
+BOOST_AUTO_TEST_CASE(ActiveRequestsFinishAndNewOnesAreRefused)
 {
     PatientFixture setup(
         [](const std::string& request)
         {
-            Script script{PatientFixture::whole(fieldOf(request, "X-Id"), "done")};
+            Script script{PatientFixture::okAnswer(fieldOf(request, "X-Id"), "done")};
             script.delay = request.find("/read/slow") != std::string::npos ? 300ms : 0ms;
             return script;
         });
--- a/test/gateway/Pipelining.test.cpp
+++ b/test/gateway/Pipelining.test.cpp
@@ -131,7 +131,7 @@
     Fixture           setup(
         [&](const std::string& request)
         {
-            Script script{Fixture::whole(fieldOf(request, "X-Id"), body)};
+            Script script{Fixture::okAnswer(fieldOf(request, "X-Id"), body)};
             script.delay = 1600ms;
             return script;
         },
@@ -186,7 +186,7 @@
         std::this_thread::sleep_for(1ms);
     BOOST_TEST(setup.server.clientCloses() == 3U);
     BOOST_TEST((std::chrono::steady_clock::now() - left < 500ms));
-    setup.onLoop([&] { BOOST_TEST(setup.gateway->unfinished() == 0U); });
+    setup.onLoop([&] { BOOST_TEST(setup.gateway->unfinishedRequests() == 0U); });
 }
 
 BOOST_AUTO_TEST_CASE(ACallerThatLeavesWhileReadingIsPausedCancelsItsRequests)
@@ -235,7 +235,7 @@
     TestCaller   caller(setup.gateway->port());
     caller.write(readRequests(0, 2));
     setup.waitForRequests(2);
-    setup.onLoop([&] { setup.gateway->leave(); });
+    setup.onLoop([&] { setup.gateway->startDraining(); });
     caller.write(readRequests(2, 3) + Fixture::request("/pay/x", "p3"));
     const std::string first = caller.readAnswer();
     BOOST_TEST(first.ends_with("for a0"));
@@ -335,7 +335,7 @@
     caller.write(readRequests(0, 1000));
     std::this_thread::sleep_for(500ms);
     BOOST_TEST(setup.server.requests().size() <= maxPipelined);
-    setup.onLoop([&] { BOOST_TEST(setup.gateway->unfinished() <= maxPipelined); });
+    setup.onLoop([&] { BOOST_TEST(setup.gateway->unfinishedRequests() <= maxPipelined); });
     for (int i = 0; i < 1000; ++i)
         BOOST_REQUIRE(caller.readAnswer().ends_with("for a" + std::to_string(i)));
 }
@@ -347,7 +347,7 @@
     RoomyFixture      setup(
         [large](const std::string& request)
         {
-            Script script{Fixture::whole(fieldOf(request, "X-Id"), large)};
+            Script script{Fixture::okAnswer(fieldOf(request, "X-Id"), large)};
             script.delay = fieldOf(request, "X-Id") == "a0" ? 1000ms : 0ms;
             return script;
         });
