--- a/include/sailpath/control/ControlThread.hpp
+++ b/include/sailpath/control/ControlThread.hpp
@@ -111,7 +111,7 @@
     void perform(const node::ApplyWorkspace& action);
     void perform(const node::RemoveWorkspace& action);
     void perform(const node::RejectedDocument& action);
-    void perform(const node::HearReport& action);
+    void perform(const node::ApplyServerReport& action);
 
     void onLoop(const std::function<void()>& work);
 
--- a/include/sailpath/node/ControlAction.hpp
+++ b/include/sailpath/node/ControlAction.hpp
@@ -126,7 +126,7 @@
 ////////////////////////////////////////////////////////////
 /// \brief Tell the dispatcher of a report about a server
 ////////////////////////////////////////////////////////////
-struct HearReport
+struct ApplyServerReport
 {
     ServerReport report; //!< What was found
 };
@@ -136,7 +136,7 @@
 ////////////////////////////////////////////////////////////
 using ControlAction =
     std::variant<ExchangeWith, PullDocuments, ReadStore, WatchStore, StopWatch, ListMembers, AcquireLease, RenewLease,
-                 ReleaseLease, SendProbe, ApplyWorkspace, RemoveWorkspace, RejectedDocument, HearReport>;
+                 ReleaseLease, SendProbe, ApplyWorkspace, RemoveWorkspace, RejectedDocument, ApplyServerReport>;
 
 ////////////////////////////////////////////////////////////
 /// \brief Actions in the order in which they are to be done
--- a/include/sailpath/node/Dispatcher.hpp
+++ b/include/sailpath/node/Dispatcher.hpp
@@ -98,7 +98,7 @@
     ///
     /// \param news Receives the news; its old contents are dropped
     ////////////////////////////////////////////////////////////
-    void takeNews(std::vector<ServerReport>& news);
+    void takeDrainingReports(std::vector<ServerReport>& news);
 
     ////////////////////////////////////////////////////////////
     /// \brief Hear a report about a server from a probe or a peer
@@ -119,7 +119,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Servers that memory is held for, those no longer declared included
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] std::size_t serverPlaces() const;
+    [[nodiscard]] std::size_t serverEntries() const;
 
     ////////////////////////////////////////////////////////////
     /// \brief Visit each service's counters
--- a/include/sailpath/node/DispatcherSettings.hpp
+++ b/include/sailpath/node/DispatcherSettings.hpp
@@ -17,7 +17,7 @@
 struct DispatcherSettings
 {
     std::string    dataCentre;                                    //!< Data centre of this VM
-    std::size_t    places{512};                                   //!< Requests handled at once, waiting ones included
+    std::size_t    maxRequests{512};                              //!< Requests handled at once, waiting ones included
     std::string    choice{"estimated-finish"};                    //!< Name of the choice strategy
     core::Duration otherDataCentre{std::chrono::milliseconds{3}}; //!< Round trip to another data centre
     core::StringMap<core::Duration> roundTrips;                   //!< Round trips that are known better
--- a/include/sailpath/node/LeaseAnswer.hpp
+++ b/include/sailpath/node/LeaseAnswer.hpp
@@ -11,10 +11,10 @@
 ////////////////////////////////////////////////////////////
 enum class LeaseResult
 {
-    Held,         //!< Granted or renewed, and the key is ours
-    TakenByOther, //!< The lease lives, but another VM has the key
-    Gone,         //!< The store no longer knows the lease
-    Failed        //!< No answer; nothing is known
+    Held,        //!< Granted or renewed, and the key is ours
+    HeldByOther, //!< The lease lives, but another VM has the key
+    Gone,        //!< The store no longer knows the lease
+    Failed       //!< No answer; nothing is known
 };
 
 ////////////////////////////////////////////////////////////
--- a/include/sailpath/node/Outcome.hpp
+++ b/include/sailpath/node/Outcome.hpp
@@ -17,8 +17,8 @@
     std::optional<routing::LoadReport> report;                                  //!< Load report on the answer
     bool                               draining{false};       //!< The answer says that the server is leaving
     bool                               retryForbidden{false}; //!< The answer says not to retry
-    bool                               bodyAtHand{true};      //!< Whether the request's body can be sent once more
-    core::Duration                     comeBack{};            //!< When the server says to come back, if it does
+    bool                               bodyReplayable{true};  //!< Whether the request's body can be sent once more
+    core::Duration                     retryAfter{};          //!< When the server says to come back, if it does
 };
 
 } // namespace sailpath::node
--- a/include/sailpath/node/Prober.hpp
+++ b/include/sailpath/node/Prober.hpp
@@ -61,7 +61,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Learn what came of a lease request
     ////////////////////////////////////////////////////////////
-    void answered(const LeaseAnswer& answer, core::Timestamp now);
+    void leaseAnswered(const LeaseAnswer& answer, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Give up the right to probe at once, as this VM stops
@@ -76,7 +76,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Whether this VM may probe a workspace's servers now
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] bool holds(std::string_view workspace, core::Timestamp now) const;
+    [[nodiscard]] bool mayProbe(std::string_view workspace, core::Timestamp now) const;
 
 private:
     struct Measured
--- a/src/programs/Entry.cpp
+++ b/src/programs/Entry.cpp
@@ -145,7 +145,7 @@
 
     node::DispatcherSettings decisions;
     decisions.dataCentre = settings.text("data-centre");
-    decisions.places = settings.whole("workers");
+    decisions.maxRequests = settings.whole("workers");
     decisions.seed = std::random_device{}();
     entry::DispatcherDoor          door(decisions);
     adapters::http::BackendClient  client(settings.milliseconds("connect-timeout-ms"), bodyIdle);
--- a/src/sailpath/control/ControlThread.cpp
+++ b/src/sailpath/control/ControlThread.cpp
@@ -147,7 +147,7 @@
 ////////////////////////////////////////////////////////////
 void ControlThread::tick()
 {
-    m_ports.door.with([this](node::Dispatcher& dispatcher) { dispatcher.takeNews(m_news); });
+    m_ports.door.with([this](node::Dispatcher& dispatcher) { dispatcher.takeDrainingReports(m_news); });
     for (const node::ServerReport& report : m_news)
     {
         m_ports.log.write(Level::Info, "server-leaving",
@@ -336,7 +336,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ControlThread::perform(const node::HearReport& action)
+void ControlThread::perform(const node::ApplyServerReport& action)
 {
     const node::ServerReport& report = action.report;
     m_ports.door.with(
--- a/src/sailpath/control/ProbingLease.cpp
+++ b/src/sailpath/control/ProbingLease.cpp
@@ -47,7 +47,7 @@
     const std::string        key = std::string(documents::proberPrefix) + std::to_string(action.group);
     const ports::WriteAnswer write = m_store.compareAndSwap({key, m_settings.self.name, 0, answer.lease});
     if (write.status == ports::StoreStatus::Conflict)
-        answer.result = node::LeaseResult::TakenByOther;
+        answer.result = node::LeaseResult::HeldByOther;
     else if (write.status != ports::StoreStatus::Ok)
         answer.result = node::LeaseResult::Failed;
     return answer;
--- a/src/sailpath/entry/Attempt.cpp
+++ b/src/sailpath/entry/Attempt.cpp
@@ -130,7 +130,7 @@
         else if (sameName(header.name, headerRan))
             m_shed = m_failure && header.value == "not-run";
         else if (sameName(header.name, headerRetryAfterMs))
-            m_outcome.comeBack = std::chrono::milliseconds{
+            m_outcome.retryAfter = std::chrono::milliseconds{
                 std::clamp<std::int64_t>(toNumber<std::int64_t>(header.value, 0), 0, longestBackOffMs)};
     }
 }
@@ -142,7 +142,7 @@
     // Nothing of a small answer that was cut has left yet; the caller can be told, or the request sent again.
     const bool    complete = end == ExchangeEnd::Whole;
     const bool    passedOn = m_caller.answer.begun() && (complete || !m_caller.answer.takeBack());
-    outcome.bodyAtHand = !m_request.stream && !passedOn;
+    outcome.bodyReplayable = !m_request.stream && !passedOn;
     switch (end)
     {
     case ExchangeEnd::Whole:
@@ -153,7 +153,7 @@
     case ExchangeEnd::NotSent:
         // The body has not been touched yet, so it is at hand even when it streams.
         outcome.result = AttemptResult::NotSent;
-        outcome.bodyAtHand = true;
+        outcome.bodyReplayable = true;
         break;
     case ExchangeEnd::SinkRefused:
     case ExchangeEnd::SourceFailed:
--- a/src/sailpath/node/Controller.cpp
+++ b/src/sailpath/node/Controller.cpp
@@ -32,8 +32,8 @@
 m_members(m_settings.self, m_settings.membership),
 m_prober(m_settings),
 m_storeBackoff(firstBackoff, longestBackoff),
-m_nextStore(now + jittered(m_settings.firstReadWithin)),
-m_nextRound(now + jittered(m_settings.round)),
+m_nextStore(now + jittered(m_settings.initialReadSpread)),
+m_nextRound(now + jittered(m_settings.exchangeInterval)),
 m_nextList(now)
 {
 }
@@ -57,12 +57,12 @@
     const bool lonely = m_alive.size() <= 1;
     if (now >= m_nextList && (m_relay || lonely))
     {
-        m_nextList = now + jittered(lonely ? m_settings.listEvery / 10 : m_settings.listEvery);
+        m_nextList = now + jittered(lonely ? m_settings.listInterval / 10 : m_settings.listInterval);
         actions.emplace_back(ListMembers{});
     }
     if (now >= m_nextRound)
     {
-        m_nextRound = now + m_settings.round / 2 + jittered(m_settings.round);
+        m_nextRound = now + m_settings.exchangeInterval / 2 + jittered(m_settings.exchangeInterval);
         if (const auto peer = m_members.nextPeer(m_random, now))
             exchangeWith(*peer, now, actions);
     }
@@ -145,7 +145,7 @@
         actions.emplace_back(WatchStore{revision + 1});
     }
     else
-        m_nextStore = now + m_settings.listEvery;
+        m_nextStore = now + m_settings.listInterval;
 }
 
 ////////////////////////////////////////////////////////////
@@ -172,7 +172,7 @@
 ////////////////////////////////////////////////////////////
 void Controller::leaseAnswered(const LeaseAnswer& answer, core::Timestamp now)
 {
-    m_prober.answered(answer, now);
+    m_prober.leaseAnswered(answer, now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -226,7 +226,7 @@
     Digest digest;
     digest.from = m_members.self();
     digest.revision = m_configuration.revision();
-    digest.claims = m_members.claimsToTell(m_settings.mostClaims);
+    digest.claims = m_members.claimsToTell(m_settings.maxClaims);
     for (const bool leaving : {true, false})
     {
         for (auto& item : m_reports)
@@ -238,7 +238,7 @@
 ////////////////////////////////////////////////////////////
 void Controller::tellReport(HeardReport& heard, bool leaving, core::Timestamp now, Digest& digest) const
 {
-    if (heard.report.draining != leaving || heard.told >= reportTold || digest.reports.size() >= m_settings.mostReports)
+    if (heard.report.draining != leaving || heard.told >= reportTold || digest.reports.size() >= m_settings.maxReports)
         return;
     ++heard.told;
     ServerReport report = heard.report;
@@ -271,7 +271,7 @@
     // That a server leaves must be everywhere within seconds, so it is passed on at once.
     m_newsWaits = m_newsWaits || (report.draining && !heard.report.draining);
     heard = {report, at, 0};
-    actions.emplace_back(HearReport{report});
+    actions.emplace_back(ApplyServerReport{report});
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/node/Dispatcher.cpp
+++ b/src/sailpath/node/Dispatcher.cpp
@@ -16,9 +16,9 @@
 constexpr core::Duration leastComeBack = std::chrono::milliseconds{50}; // Never invite a caller back at once
 
 ////////////////////////////////////////////////////////////
-Refusal refusal(RefusalReason reason, retries::Ran ran, core::Duration comeBack)
+Refusal refusal(RefusalReason reason, retries::Ran ran, core::Duration retryAfter)
 {
-    return {reason, ran, std::max(comeBack, leastComeBack)};
+    return {reason, ran, std::max(retryAfter, leastComeBack)};
 }
 
 ////////////////////////////////////////////////////////////
@@ -30,7 +30,7 @@
     switch (outcome.result)
     {
     case retries::AttemptResult::Shed:
-        return refusal(RefusalReason::ServerShed, ran, std::max(outcome.comeBack, soon));
+        return refusal(RefusalReason::ServerShed, ran, std::max(outcome.retryAfter, soon));
     case retries::AttemptResult::NotSent:
         return refusal(RefusalReason::NotSent, ran, soon);
     case retries::AttemptResult::Abandoned:
@@ -46,10 +46,10 @@
 Dispatcher::Dispatcher(DispatcherSettings settings) :
 m_settings(std::move(settings)),
 m_random(m_settings.seed),
-m_shares(m_settings.places)
+m_shares(m_settings.maxRequests)
 {
-    m_pending.reserve(m_settings.places);
-    m_freeTickets.reserve(m_settings.places);
+    m_pending.reserve(m_settings.maxRequests);
+    m_freeTickets.reserve(m_settings.maxRequests);
 }
 
 ////////////////////////////////////////////////////////////
@@ -192,7 +192,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Dispatcher::takeNews(std::vector<ServerReport>& news)
+void Dispatcher::takeDrainingReports(std::vector<ServerReport>& news)
 {
     news.clear();
     news.swap(m_news);
@@ -234,7 +234,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t Dispatcher::serverPlaces() const
+std::size_t Dispatcher::serverEntries() const
 {
     std::size_t places = 0;
     for (const auto& workspace : m_workspaces)
@@ -378,7 +378,7 @@
         priv::Query query = queryFor(pending, now);
         query.excluded = pending.server;
         const priv::Chosen           other = pool.choose(query, m_random);
-        const retries::AttemptRecord record{outcome.result,         pending.repeatable, outcome.bodyAtHand,
+        const retries::AttemptRecord record{outcome.result,         pending.repeatable, outcome.bodyReplayable,
                                             outcome.retryForbidden, pending.attempts,   pending.deadline - now,
                                             pool.usualLatency()};
         if (other.failure == priv::ChoiceFailure::None &&
--- a/src/sailpath/node/Pool.cpp
+++ b/src/sailpath/node/Pool.cpp
@@ -186,8 +186,8 @@
         break;
     case retries::AttemptResult::Shed:
         there.limit.shed(now);
-        if (outcome.comeBack.count() > 0)
-            there.health.backOff(now + outcome.comeBack);
+        if (outcome.retryAfter.count() > 0)
+            there.health.backOff(now + outcome.retryAfter);
         if (there.health.ejected())
             learnFailure(there, now);
         break;
--- a/src/sailpath/node/Prober.cpp
+++ b/src/sailpath/node/Prober.cpp
@@ -82,7 +82,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Prober::answered(const LeaseAnswer& answer, core::Timestamp now)
+void Prober::leaseAnswered(const LeaseAnswer& answer, core::Timestamp now)
 {
     m_pending = false;
     if (answer.result == LeaseResult::Gone)
@@ -121,7 +121,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Prober::holds(std::string_view workspace, core::Timestamp now) const
+bool Prober::mayProbe(std::string_view workspace, core::Timestamp now) const
 {
     const auto found = m_measured.find(workspace);
     return found != m_measured.end() && m_groups[found->second.group].held && m_lease.valid(now);
--- a/src/sailpath/replay/Simulation.cpp
+++ b/src/sailpath/replay/Simulation.cpp
@@ -287,7 +287,7 @@
     if (!m_variant.peers)
         return;
     std::vector<node::ServerReport> news;
-    m_nodes[entry].dispatcher->takeNews(news);
+    m_nodes[entry].dispatcher->takeDrainingReports(news);
     for (const node::ServerReport& report : news)
     {
         m_events.after(newsDelay,
@@ -423,7 +423,7 @@
         if (acquire || renew)
         {
             const unsigned group = acquire ? acquire->group : 0;
-            m_prober->answered(
+            m_prober->leaseAnswered(
                 {node::LeaseResult::Held, renew != nullptr, group, 1, m_control.leaseLength, m_events.now()},
                 m_events.now());
         }
--- a/test/bench/Capacity.cpp
+++ b/test/bench/Capacity.cpp
@@ -111,7 +111,7 @@
 {
     const long   before = residentKilobytes();
     ControlGroup group({.nodes = nodes, .dataCentres = 7, .seed = 5, .loss = 0.1});
-    group.measure = adapters::peers::encodedSize;
+    group.digestSize = adapters::peers::encodedSize;
     for (unsigned i = 0; i < 16; ++i)
         (void)group.put("w" + std::to_string(i), declaration(i, nodes / 16 + 1, 30));
     group.run(60s);
@@ -133,7 +133,7 @@
     {
         const core::Timestamp at = group.now();
         const auto            revision = group.put("w1", declaration(1, nodes / 16 + 1, 30));
-        (void)group.runUntil([&] { return group.everywhere("w1", revision); }, 60s);
+        (void)group.runUntil([&] { return group.appliedEverywhere("w1", revision); }, 60s);
         cost.spreadSeconds = std::max(cost.spreadSeconds, core::toSeconds(group.now() - at));
     }
     const core::Timestamp killed = group.now();
@@ -142,7 +142,7 @@
     {
         for (unsigned i = 0; i < nodes; ++i)
         {
-            if (i != nodes / 2 && !group.believes(i, nodes / 2, membership::MemberStatus::Dead))
+            if (i != nodes / 2 && !group.seesStatus(i, nodes / 2, membership::MemberStatus::Dead))
                 return false;
         }
         return true;
--- a/test/node/Controller.test.cpp
+++ b/test/node/Controller.test.cpp
@@ -25,10 +25,10 @@
 ////////////////////////////////////////////////////////////
 /// \brief Whether any node went back to an older revision within one life; the rule of the history check
 ////////////////////////////////////////////////////////////
-bool wentBack(const std::vector<support::InForce>& history)
+bool wentBack(const std::vector<support::AppliedChange>& history)
 {
     std::map<std::tuple<unsigned, unsigned, std::string>, std::uint64_t> newest;
-    for (const support::InForce& change : history)
+    for (const support::AppliedChange& change : history)
     {
         auto& revision = newest[{change.node, change.life, change.workspace}];
         if (change.revision <= revision)
@@ -76,10 +76,10 @@
     for (int i = 0; i < 10; ++i)
     {
         const auto revision = group.put("admissa", declaration("admissa"));
-        BOOST_TEST(group.runUntil([&] { return group.everywhere("admissa", revision); }, 2s));
+        BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 2s));
     }
     const auto revision = group.remove("admissa");
-    BOOST_TEST(group.runUntil([&] { return group.everywhere("admissa", revision); }, 2s));
+    BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 2s));
     BOOST_TEST(!wentBack(group.history));
     BOOST_TEST(group.relays() == 3U);
 }
@@ -94,7 +94,7 @@
     group.stop(7);
     group.run(30s);
     for (unsigned i = 0; i < 18; ++i)
-        BOOST_TEST((i == 7 || group.believes(i, 7, MemberStatus::Dead)));
+        BOOST_TEST((i == 7 || group.seesStatus(i, 7, MemberStatus::Dead)));
     group.start(7);
     group.run(20s);
     for (unsigned i = 0; i < 18; ++i)
@@ -111,7 +111,7 @@
     {
         for (unsigned i = 0; i < 200; ++i)
         {
-            if (i != 100 && !group.believes(i, 100, MemberStatus::Dead))
+            if (i != 100 && !group.seesStatus(i, 100, MemberStatus::Dead))
                 return false;
         }
         return true;
@@ -128,7 +128,7 @@
         group.run(20s);
         const core::Timestamp told = group.now();
         group.serverLeaving(3);
-        BOOST_TEST(group.runUntil([&] { return group.heardLeaving.size() == 18; }, 3s));
+        BOOST_TEST(group.runUntil([&] { return group.drainingHeardAt.size() == 18; }, 3s));
         BOOST_TEST_MESSAGE("loss " << loss << ": all heard after " << core::toSeconds(group.now() - told) << " s");
     }
 }
@@ -144,7 +144,7 @@
         group.stop(static_cast<unsigned>(17 - round));
         group.run(1s);
         const auto revision = group.put("admissa", declaration("admissa"));
-        BOOST_TEST(group.runUntil([&] { return group.everywhere("admissa", revision); }, 15s));
+        BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 15s));
     }
     BOOST_TEST(!wentBack(group.history));
 }
@@ -160,7 +160,7 @@
     group.run(20s);
     group.start(5);
     // The platform's list is out too: peers find the node by trying the dead now and then.
-    BOOST_TEST(group.runUntil([&] { return group.everywhere("admissa", revision); }, 60s));
+    BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 60s));
 }
 
 ////////////////////////////////////////////////////////////
@@ -176,7 +176,7 @@
     group.setOutage(false);
     const auto resumed = group.storeCalls;
     const auto revision = group.put("admissa", declaration("admissa"));
-    BOOST_TEST(group.runUntil([&] { return group.everywhere("admissa", revision); }, 15s));
+    BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 15s));
     BOOST_TEST(group.storeCalls - resumed < 100U);
 }
 
@@ -200,15 +200,15 @@
 {
     ControlGroup group({.nodes = 16});
     group.run(20s);
-    group.cutDataCentre(1, true);
+    group.isolateDataCentre(1, true);
     group.run(60s);
     // The cut side keeps its own relays, so the change reaches it through the store.
     auto revision = group.put("admissa", declaration("admissa"));
-    BOOST_TEST(group.runUntil([&] { return group.everywhere("admissa", revision); }, 15s));
-    group.cutDataCentre(1, false);
+    BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 15s));
+    group.isolateDataCentre(1, false);
     BOOST_TEST(group.runUntil([&] { return group.allAlive(0) && group.allAlive(1); }, 120s));
     revision = group.put("admissa", declaration("admissa"));
-    BOOST_TEST(group.runUntil([&] { return group.everywhere("admissa", revision); }, 2s));
+    BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 2s));
     BOOST_TEST(!wentBack(group.history));
 }
 
@@ -221,7 +221,7 @@
     group.setVmList({3, 4, 0, 1});
     group.run(60s);
     const auto revision = group.put("admissa", declaration("admissa"));
-    BOOST_TEST(group.runUntil([&] { return group.everywhere("admissa", revision); }, 5s));
+    BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 5s));
 }
 
 ////////////////////////////////////////////////////////////
@@ -241,14 +241,14 @@
         else if (round % 3 == 1)
             group.freeze(holder);
         else
-            group.cutDataCentre(holder % 4, true);
+            group.isolateDataCentre(holder % 4, true);
         group.run(25s);
         if (round % 3 == 0)
             group.start(holder);
         else if (round % 3 == 1)
             group.thaw(holder);
         else
-            group.cutDataCentre(holder % 4, false);
+            group.isolateDataCentre(holder % 4, false);
         group.run(5s);
     }
     // One probe may be saved up and one may be under way when the right changes hands.
@@ -282,10 +282,10 @@
     (void)group.put("admissa", "{\"workspace\": \"quetzal\"}");
     (void)group.put("admissa", "nonsense");
     group.run(10s);
-    BOOST_TEST(group.everywhere("admissa", good));
+    BOOST_TEST(group.appliedEverywhere("admissa", good));
     BOOST_TEST(group.history.back().revision == good);
     const auto better = group.put("admissa", declaration("admissa"));
-    BOOST_TEST(group.runUntil([&] { return group.everywhere("admissa", better); }, 2s));
+    BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", better); }, 2s));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/node/Dispatcher.test.cpp
+++ b/test/node/Dispatcher.test.cpp
@@ -230,7 +230,7 @@
     const Step step = admit();
     (void)dispatcher.finish(step.ticket, outcome, now);
     std::vector<node::ServerReport> news;
-    dispatcher.takeNews(news);
+    dispatcher.takeDrainingReports(news);
     BOOST_REQUIRE(news.size() == 1U);
     BOOST_TEST(news.front().server == step.target->server);
     for (int i = 0; i < 100; ++i)
@@ -239,7 +239,7 @@
         BOOST_TEST(next.target->server != step.target->server);
         (void)finish(next, AttemptResult::Answered);
     }
-    dispatcher.takeNews(news);
+    dispatcher.takeDrainingReports(news);
     BOOST_TEST(news.empty());
 }
 
@@ -249,7 +249,7 @@
     const Step shed = admit();
     Outcome    outcome;
     outcome.result = AttemptResult::Shed;
-    outcome.comeBack = 3s;
+    outcome.retryAfter = 3s;
     const Step again = dispatcher.finish(shed.ticket, outcome, now);
     BOOST_REQUIRE((again.verdict == Verdict::Forward));
     BOOST_TEST((finish(again, AttemptResult::Answered).verdict == Verdict::Answer));
@@ -281,7 +281,7 @@
 {
     Outcome outcome;
     outcome.result = AttemptResult::Shed;
-    outcome.comeBack = 3s;
+    outcome.retryAfter = 3s;
     for (int i = 0; i < 4; ++i)
     {
         const Step step = admit("POST", "/fees");
@@ -323,7 +323,7 @@
     std::size_t servers = 0;
     dispatcher.visitServers(now, [&](const auto&, routing::Standing) { ++servers; });
     BOOST_TEST(servers == 4U);
-    BOOST_TEST(dispatcher.serverPlaces() == 4U);
+    BOOST_TEST(dispatcher.serverEntries() == 4U);
 }
 
 ////////////////////////////////////////////////////////////
--- a/test/support/ControlGroup.cpp
+++ b/test/support/ControlGroup.cpp
@@ -157,13 +157,13 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::cutDataCentre(unsigned dataCentre, bool cut)
+void ControlGroup::isolateDataCentre(unsigned dataCentre, bool cut)
 {
     m_cut[dataCentre] = cut;
 }
 
 ////////////////////////////////////////////////////////////
-bool ControlGroup::everywhere(const std::string& workspace, std::uint64_t revision) const
+bool ControlGroup::appliedEverywhere(const std::string& workspace, std::uint64_t revision) const
 {
     return std::all_of(m_nodes.begin(), m_nodes.end(),
                        [&](const Node& node)
@@ -189,7 +189,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool ControlGroup::believes(unsigned node, unsigned other, membership::MemberStatus status) const
+bool ControlGroup::seesStatus(unsigned node, unsigned other, membership::MemberStatus status) const
 {
     const auto members = m_nodes[node].controller->members().all();
     return std::any_of(members.begin(), members.end(),
@@ -260,8 +260,8 @@
 {
     ++exchanges;
     const unsigned peer = indexOf(action.address);
-    if (measure)
-        peerBytes += measure(action.digest);
+    if (digestSize)
+        peerBytes += digestSize(action.digest);
     if (!reachable(node, peer))
     {
         deliver(node, answerTime,
@@ -273,8 +273,8 @@
             [this, node, digest = action.digest](node::Controller& controller, node::ControlActions& actions)
             {
                 node::Digest answer = controller.exchangeReceived(digest, m_events.now(), actions);
-                if (measure)
-                    peerBytes += measure(answer);
+                if (digestSize)
+                    peerBytes += digestSize(answer);
                 deliver(node, m_settings.oneWay,
                         [this, answer](node::Controller& asker, node::ControlActions& more)
                         { asker.exchanged(answer, m_events.now(), more); });
@@ -379,7 +379,7 @@
         answer.lease = m_leases.contains(action.lease) ? action.lease : m_nextLease++;
         m_leases[answer.lease].until = m_events.now() + answer.length;
         const bool taken = m_groupKeys.contains(action.group);
-        answer.result = taken ? node::LeaseResult::TakenByOther : node::LeaseResult::Held;
+        answer.result = taken ? node::LeaseResult::HeldByOther : node::LeaseResult::Held;
         if (!taken)
             m_groupKeys[action.group] = answer.lease;
     }
@@ -446,10 +446,10 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::act(unsigned node, const node::HearReport& action)
+void ControlGroup::act(unsigned node, const node::ApplyServerReport& action)
 {
     if (action.report.draining)
-        heardLeaving.try_emplace(node, m_events.now());
+        drainingHeardAt.try_emplace(node, m_events.now());
 }
 
 ////////////////////////////////////////////////////////////
--- a/test/support/ControlGroup.hpp
+++ b/test/support/ControlGroup.hpp
@@ -28,7 +28,7 @@
 ////////////////////////////////////////////////////////////
 /// \brief A change that came into force on a node
 ////////////////////////////////////////////////////////////
-struct InForce
+struct AppliedChange
 {
     core::Timestamp at{};        //!< When
     unsigned        node{0};     //!< Where
@@ -70,34 +70,34 @@
     void          serverLeaving(unsigned node);         //!< A node's dispatcher hears a server say that it is leaving
     void          restoreStore(std::uint64_t revision); //!< The store falls back to an older state, as from a backup
 
-    void setOutage(bool outage);                       //!< The store answers nothing
-    void setVmList(std::vector<unsigned> nodes);       //!< Replace the platform's list
-    void stop(unsigned node);                          //!< Kill a node
-    void start(unsigned node);                         //!< Start it anew, knowing nothing
-    void freeze(unsigned node);                        //!< It does nothing; what reaches it waits
-    void thaw(unsigned node);                          //!< It goes on, with everything that waited
-    void cutDataCentre(unsigned dataCentre, bool cut); //!< Its nodes reach only one another
-
-    [[nodiscard]] bool            everywhere(const std::string& workspace,
-                                             std::uint64_t      revision) const; //!< In force on all that run
-    [[nodiscard]] bool            allAlive(unsigned node) const;            //!< A node holds all that run for alive
-    [[nodiscard]] bool            believes(unsigned node, unsigned other,
-                                           membership::MemberStatus status) const; //!< What one believes
-    [[nodiscard]] unsigned        relays() const;                                  //!< Nodes that watch the store
-    [[nodiscard]] core::Timestamp now() const;                                     //!< Virtual time
-
-    std::vector<InForce>                history;       //!< Everything that came into force
-    std::vector<ProbeSent>              probes;        //!< Every probe
-    std::map<unsigned, core::Timestamp> heardLeaving;  //!< When each node heard that a server leaves
-    std::uint64_t                       storeCalls{0}; //!< Calls to the store; a watch counts once
-    std::uint64_t                       storeReads{0}; //!< Of these, reads of the configuration
-    std::uint64_t                       exchanges{0};  //!< Exchanges begun
-    std::uint64_t                       peerBytes{0};  //!< Bytes of digests, both ways
+    void setOutage(bool outage);                           //!< The store answers nothing
+    void setVmList(std::vector<unsigned> nodes);           //!< Replace the platform's list
+    void stop(unsigned node);                              //!< Kill a node
+    void start(unsigned node);                             //!< Start it anew, knowing nothing
+    void freeze(unsigned node);                            //!< It does nothing; what reaches it waits
+    void thaw(unsigned node);                              //!< It goes on, with everything that waited
+    void isolateDataCentre(unsigned dataCentre, bool cut); //!< Its nodes reach only one another
+
+    [[nodiscard]] bool            appliedEverywhere(const std::string& workspace,
+                                                    std::uint64_t      revision) const; //!< In force on all that run
+    [[nodiscard]] bool            allAlive(unsigned node) const; //!< A node holds all that run for alive
+    [[nodiscard]] bool            seesStatus(unsigned node, unsigned other,
+                                             membership::MemberStatus status) const; //!< What one believes
+    [[nodiscard]] unsigned        relays() const;                                    //!< Nodes that watch the store
+    [[nodiscard]] core::Timestamp now() const;                                       //!< Virtual time
+
+    std::vector<AppliedChange>          history;         //!< Everything that came into force
+    std::vector<ProbeSent>              probes;          //!< Every probe
+    std::map<unsigned, core::Timestamp> drainingHeardAt; //!< When each node heard that a server leaves
+    std::uint64_t                       storeCalls{0};   //!< Calls to the store; a watch counts once
+    std::uint64_t                       storeReads{0};   //!< Of these, reads of the configuration
+    std::uint64_t                       exchanges{0};    //!< Exchanges begun
+    std::uint64_t                       peerBytes{0};    //!< Bytes of digests, both ways
 
     ////////////////////////////////////////////////////////////
     /// \brief Measures the bytes of a digest; none are counted without it
     ////////////////////////////////////////////////////////////
-    std::function<std::size_t(const node::Digest&)> measure;
+    std::function<std::size_t(const node::Digest&)> digestSize;
 
 private:
     struct Node
@@ -132,7 +132,7 @@
     void                   act(unsigned node, const node::ApplyWorkspace& action);
     void                   act(unsigned node, const node::RemoveWorkspace& action);
     void                   act(unsigned node, const node::RejectedDocument& action);
-    void                   act(unsigned node, const node::HearReport& action);
+    void                   act(unsigned node, const node::ApplyServerReport& action);
     void                   pushChange(const state::Document& document);
     void                   expireLeases();
     [[nodiscard]] bool     reachable(unsigned from, unsigned to);
