--- a/include/sailpath/node/Controller.hpp
+++ b/include/sailpath/node/Controller.hpp
@@ -137,23 +137,23 @@
         Watching //!< The watch runs
     };
 
-    struct HeardReport
+    struct ReceivedReport
     {
-        ServerReport    report;  //!< What was found
-        core::Timestamp at{};    //!< When
-        unsigned        told{0}; //!< Times that it was told
+        ServerReport    report;       //!< What was found
+        core::Timestamp at{};         //!< When
+        unsigned        timesSent{0}; //!< Times that it was told
     };
 
     [[nodiscard]] Digest makeDigest(core::Timestamp now);
-    void                 tellReport(HeardReport& heard, bool leaving, core::Timestamp now, Digest& digest) const;
-    [[nodiscard]] bool   hearDigest(const Digest& digest, core::Timestamp now, ControlActions& actions);
-    void                 hearReport(const ServerReport& report, core::Timestamp at, ControlActions& actions);
-    [[nodiscard]] bool   takeDocuments(std::span<const state::Document> documents, core::Timestamp now,
-                                       ControlActions& actions);
-    void                 putInForce(const state::Document& document, core::Timestamp now, ControlActions& actions);
-    void                 tellNews(core::Timestamp now, ControlActions& actions);
-    void                 driveStore(core::Timestamp now, ControlActions& actions);
-    void                 exchangeWith(const membership::Member& peer, core::Timestamp now, ControlActions& actions);
+    void               appendReport(ReceivedReport& received, bool draining, core::Timestamp now, Digest& digest) const;
+    [[nodiscard]] bool applyDigest(const Digest& digest, core::Timestamp now, ControlActions& actions);
+    void               applyReport(const ServerReport& report, core::Timestamp at, ControlActions& actions);
+    [[nodiscard]] bool applyDocuments(std::span<const state::Document> documents, core::Timestamp now,
+                                      ControlActions& actions);
+    void               applyDocument(const state::Document& document, core::Timestamp now, ControlActions& actions);
+    void               notifyPeers(core::Timestamp now, ControlActions& actions);
+    void               updateStoreAccess(core::Timestamp now, ControlActions& actions);
+    void               exchangeWith(const membership::Member& peer, core::Timestamp now, ControlActions& actions);
     [[nodiscard]] core::Duration jittered(core::Duration duration);
 
     ControllerSettings        m_settings;                     //!< Constants
@@ -165,19 +165,19 @@
     StoreState                m_storeState{StoreState::Idle}; //!< What is under way with the store
     bool                      m_relay{false};                 //!< Chosen to watch the store
     bool                      m_pulling{false};               //!< A `PullDocuments` is under way
-    core::Timestamp           m_nextStore;                    //!< Next try at the store
-    core::Timestamp           m_nextRound;                    //!< Next exchange
-    core::Timestamp           m_nextList;                     //!< Next reading of the list of VMs
-    core::Timestamp           m_nextNews{};                   //!< Next telling of servers that leave
-    bool                      m_newsWaits{false};             //!< There is such news
+    core::Timestamp           m_nextStoreRead;                //!< Next try at the store
+    core::Timestamp           m_nextExchange;                 //!< Next exchange
+    core::Timestamp           m_nextMemberList;               //!< Next reading of the list of VMs
+    core::Timestamp           m_nextDrainingNotice{};         //!< Next telling of servers that leave
+    bool                      m_drainingNoticePending{false}; //!< There is such news
     bool                      m_leaving{false};               //!< This VM stops
-    bool                      m_askedStore{false};            //!< The store was asked since the start
-    std::uint64_t             m_seenMembers{
+    bool                      m_storeRequested{false};        //!< The store was asked since the start
+    std::uint64_t             m_memberVersion{
         std::numeric_limits<std::uint64_t>::max()}; //!< Version of the members that the next two belong to
-    std::vector<std::string_view> m_alive;                      //!< Names of the live VMs, this one included
-    bool                          m_chosenRelay{false};         //!< Among the live VMs, chosen to watch the store
-    core::StringMap<HeardReport>  m_reports;                    //!< Fresh reports by server
-    core::StringMap<unsigned>     m_unanswered;                 //!< Exchanges in a row without an answer, by peer
+    std::vector<std::string_view>   m_alive;                    //!< Names of the live VMs, this one included
+    bool                            m_relayWanted{false};       //!< Among the live VMs, chosen to watch the store
+    core::StringMap<ReceivedReport> m_reports;                  //!< Fresh reports by server
+    core::StringMap<unsigned>       m_failedExchanges;          //!< Exchanges in a row without an answer, by peer
 };
 
 } // namespace sailpath::node
--- a/include/sailpath/node/Dispatcher.hpp
+++ b/include/sailpath/node/Dispatcher.hpp
@@ -22,7 +22,7 @@
 namespace priv
 {
 class Pool;
-struct Query;
+struct ChoiceQuery;
 } // namespace priv
 
 ////////////////////////////////////////////////////////////
@@ -98,7 +98,7 @@
     ///
     /// \param news Receives the news; its old contents are dropped
     ////////////////////////////////////////////////////////////
-    void takeDrainingReports(std::vector<ServerReport>& news);
+    void takeDrainingReports(std::vector<ServerReport>& reports);
 
     ////////////////////////////////////////////////////////////
     /// \brief Hear a report about a server from a probe or a peer
@@ -157,26 +157,26 @@
         core::Timestamp  deadline{};                              //!< When it must be done
     };
 
-    [[nodiscard]] priv::Pool* findPool(std::string_view host);
-    [[nodiscard]] Ticket      open(priv::Pool& pool);
-    void                      close(Ticket ticket);
-    [[nodiscard]] Step        forward(Ticket ticket, std::size_t server, core::Timestamp now);
-    [[nodiscard]] Step        holdOrRefuse(Ticket ticket, core::Timestamp now);
-    [[nodiscard]] Step        refuse(Ticket ticket, const Refusal& refusal);
-    [[nodiscard]] Step        conclude(Ticket ticket, const Outcome& outcome, core::Timestamp now);
-    [[nodiscard]] priv::Query queryFor(const Pending& pending, core::Timestamp now) const;
-    void                      pump(priv::Pool& pool, core::Timestamp now);
-    void                      expire(priv::Pool& pool, core::Timestamp now);
-
-    DispatcherSettings         m_settings;    //!< Constants and strategies
-    core::Random               m_random;      //!< For choices
-    limits::WorkspaceShares    m_shares;      //!< Places by workspace
-    core::StringMap<Workspace> m_workspaces;  //!< Configuration in force
-    std::vector<Pending>       m_pending;     //!< By ticket
-    std::vector<Ticket>        m_freeTickets; //!< Tickets to use again
-    std::vector<Step>          m_released;    //!< Steps for held requests
-    std::vector<ServerReport>  m_news;        //!< Servers that began to leave
-    std::size_t                m_held{0};     //!< Requests held
+    [[nodiscard]] priv::Pool*       findPool(std::string_view host);
+    [[nodiscard]] Ticket            openTicket(priv::Pool& pool);
+    void                            closeTicket(Ticket ticket);
+    [[nodiscard]] Step              forward(Ticket ticket, std::size_t server, core::Timestamp now);
+    [[nodiscard]] Step              holdOrRefuse(Ticket ticket, core::Timestamp now);
+    [[nodiscard]] Step              refuse(Ticket ticket, const Refusal& refusal);
+    [[nodiscard]] Step              retryOrConclude(Ticket ticket, const Outcome& outcome, core::Timestamp now);
+    [[nodiscard]] priv::ChoiceQuery queryFor(const Pending& pending, core::Timestamp now) const;
+    void                            dispatchHeld(priv::Pool& pool, core::Timestamp now);
+    void                            expireHeld(priv::Pool& pool, core::Timestamp now);
+
+    DispatcherSettings         m_settings;        //!< Constants and strategies
+    core::Random               m_random;          //!< For choices
+    limits::WorkspaceShares    m_shares;          //!< Places by workspace
+    core::StringMap<Workspace> m_workspaces;      //!< Configuration in force
+    std::vector<Pending>       m_pending;         //!< By ticket
+    std::vector<Ticket>        m_freeTickets;     //!< Tickets to use again
+    std::vector<Step>          m_released;        //!< Steps for held requests
+    std::vector<ServerReport>  m_drainingReports; //!< Servers that began to leave
+    std::size_t                m_held{0};         //!< Requests held
 };
 
 } // namespace sailpath::node
--- a/include/sailpath/node/Prober.hpp
+++ b/include/sailpath/node/Prober.hpp
@@ -79,7 +79,7 @@
     [[nodiscard]] bool mayProbe(std::string_view workspace, core::Timestamp now) const;
 
 private:
-    struct Measured
+    struct ProbedWorkspace
     {
         double                                     rate{0};  //!< Server-milliseconds a second
         unsigned                                   group{0}; //!< Its probe group
@@ -95,18 +95,18 @@
         core::Timestamp nextTry{};     //!< Next acquisition
     };
 
-    void               dropAll();
-    [[nodiscard]] bool wanted(unsigned group) const;
+    void               clearHeldGroups();
+    [[nodiscard]] bool shouldHold(unsigned group) const;
     void               acquire(core::Timestamp now, ControlActions& actions);
     void               renew(core::Timestamp now, ControlActions& actions);
     void               probe(core::Timestamp now, ControlActions& actions);
 
-    const ControllerSettings& m_settings;       //!< Constants
-    core::StringMap<Measured> m_measured;       //!< By workspace
-    std::vector<Group>        m_groups;         //!< By number
-    state::HeldLease          m_lease;          //!< One lease for all groups held
-    bool                      m_pending{false}; //!< A lease request is on its way
-    core::Timestamp           m_renewAt{};      //!< Next renewal
+    const ControllerSettings&        m_settings;              //!< Constants
+    core::StringMap<ProbedWorkspace> m_workspaces;            //!< By workspace
+    std::vector<Group>               m_groups;                //!< By number
+    state::HeldLease                 m_lease;                 //!< One lease for all groups held
+    bool                             m_requestPending{false}; //!< A lease request is on its way
+    core::Timestamp                  m_renewAt{};             //!< Next renewal
 };
 
 } // namespace sailpath::node
--- a/src/sailpath/node/Controller.cpp
+++ b/src/sailpath/node/Controller.cpp
@@ -9,12 +9,12 @@
 {
 namespace
 {
-constexpr core::Duration   firstBackoff = std::chrono::milliseconds{200};
-constexpr core::Duration   longestBackoff = std::chrono::seconds{10};
-constexpr core::Duration   reportLife = std::chrono::seconds{3};
-constexpr core::Duration   newsEvery = std::chrono::milliseconds{250};
-constexpr unsigned         reportTold = 4; // Times that one VM tells a report
-constexpr unsigned         callsBeforeSuspicion = 3;
+constexpr core::Duration   initialBackoff = std::chrono::milliseconds{200};
+constexpr core::Duration   maxBackoff = std::chrono::seconds{10};
+constexpr core::Duration   reportLifetime = std::chrono::seconds{3};
+constexpr core::Duration   drainingNoticeInterval = std::chrono::milliseconds{250};
+constexpr unsigned         maxReportSends = 4; // Times that one VM tells a report
+constexpr unsigned         failuresBeforeSuspicion = 3;
 constexpr std::string_view relayTask = "store-relay";
 
 ////////////////////////////////////////////////////////////
@@ -31,10 +31,10 @@
 m_random(m_settings.seed),
 m_members(m_settings.self, m_settings.membership),
 m_prober(m_settings),
-m_storeBackoff(firstBackoff, longestBackoff),
-m_nextStore(now + jittered(m_settings.initialReadSpread)),
-m_nextRound(now + jittered(m_settings.exchangeInterval)),
-m_nextList(now)
+m_storeBackoff(initialBackoff, maxBackoff),
+m_nextStoreRead(now + jittered(m_settings.initialReadSpread)),
+m_nextExchange(now + jittered(m_settings.exchangeInterval)),
+m_nextMemberList(now)
 {
 }
 
@@ -42,50 +42,50 @@
 void Controller::tick(core::Timestamp now, ControlActions& actions)
 {
     m_members.tick(now);
-    if (m_members.version() != m_seenMembers)
+    if (m_members.version() != m_memberVersion)
     {
-        m_seenMembers = m_members.version();
+        m_memberVersion = m_members.version();
         m_alive = m_members.aliveNames();
-        m_chosenRelay = membership::isChosen(relayTask, m_members.self().name, m_alive, m_settings.relays);
+        m_relayWanted = membership::isChosen(relayTask, m_members.self().name, m_alive, m_settings.relays);
         m_prober.membersChanged(m_alive);
     }
-    driveStore(now, actions);
+    updateStoreAccess(now, actions);
     if (!m_leaving)
         m_prober.tick(now, actions);
 
     // The list of VMs is for those that know nobody, and for relays to keep up with it.
-    const bool lonely = m_alive.size() <= 1;
-    if (now >= m_nextList && (m_relay || lonely))
+    const bool isolated = m_alive.size() <= 1;
+    if (now >= m_nextMemberList && (m_relay || isolated))
     {
-        m_nextList = now + jittered(lonely ? m_settings.listInterval / 10 : m_settings.listInterval);
+        m_nextMemberList = now + jittered(isolated ? m_settings.listInterval / 10 : m_settings.listInterval);
         actions.emplace_back(ListMembers{});
     }
-    if (now >= m_nextRound)
+    if (now >= m_nextExchange)
     {
-        m_nextRound = now + m_settings.exchangeInterval / 2 + jittered(m_settings.exchangeInterval);
+        m_nextExchange = now + m_settings.exchangeInterval / 2 + jittered(m_settings.exchangeInterval);
         if (const auto peer = m_members.nextPeer(m_random, now))
             exchangeWith(*peer, now, actions);
     }
-    if (m_newsWaits && now >= m_nextNews)
+    if (m_drainingNoticePending && now >= m_nextDrainingNotice)
     {
-        m_newsWaits = false;
-        m_nextNews = now + newsEvery;
-        tellNews(now, actions);
+        m_drainingNoticePending = false;
+        m_nextDrainingNotice = now + drainingNoticeInterval;
+        notifyPeers(now, actions);
     }
-    std::erase_if(m_reports, [now](const auto& item) { return now - item.second.at > reportLife; });
+    std::erase_if(m_reports, [now](const auto& item) { return now - item.second.at > reportLifetime; });
 }
 
 ////////////////////////////////////////////////////////////
 Digest Controller::exchangeReceived(const Digest& digest, core::Timestamp now, ControlActions& actions)
 {
-    (void)hearDigest(digest, now, actions);
+    (void)applyDigest(digest, now, actions);
     return makeDigest(now);
 }
 
 ////////////////////////////////////////////////////////////
 void Controller::exchanged(const Digest& answer, core::Timestamp now, ControlActions& actions)
 {
-    if (hearDigest(answer, now, actions))
+    if (applyDigest(answer, now, actions))
         exchangeWith(answer.from, now, actions);
 }
 
@@ -93,14 +93,14 @@
 void Controller::exchangeFailed(std::string_view peer, core::Timestamp now, ControlActions& actions)
 {
     // One lost call must not raise a suspicion that the whole fleet then has to hear and deny.
-    unsigned&  unanswered = m_unanswered[std::string(peer)];
+    unsigned&  failures = m_failedExchanges[std::string(peer)];
     const auto member = m_members.find(peer);
-    if (++unanswered < callsBeforeSuspicion && member && member->status == membership::MemberStatus::Alive)
+    if (++failures < failuresBeforeSuspicion && member && member->status == membership::MemberStatus::Alive)
     {
         exchangeWith(*member, now, actions);
         return;
     }
-    m_unanswered.erase(std::string(peer));
+    m_failedExchanges.erase(std::string(peer));
     m_members.unreachable(peer, now);
 }
 
@@ -115,14 +115,14 @@
                                    core::Timestamp now, ControlActions& actions)
 {
     m_pulling = false;
-    const bool news = takeDocuments(batch.documents, now, actions);
-    if (news && batch.more)
+    const bool changed = applyDocuments(batch.documents, now, actions);
+    if (changed && batch.more)
     {
         m_pulling = true;
         actions.emplace_back(PullDocuments{peer.name, peer.address, m_configuration.revision()});
     }
-    else if (news)
-        tellNews(now, actions);
+    else if (changed)
+        notifyPeers(now, actions);
 }
 
 ////////////////////////////////////////////////////////////
@@ -137,29 +137,29 @@
 {
     m_storeBackoff.reset();
     m_storeState = StoreState::Idle;
-    if (takeDocuments(documents, now, actions))
-        tellNews(now, actions);
+    if (applyDocuments(documents, now, actions))
+        notifyPeers(now, actions);
     if (m_relay)
     {
         m_storeState = StoreState::Watching;
         actions.emplace_back(WatchStore{revision + 1});
     }
     else
-        m_nextStore = now + m_settings.listInterval;
+        m_nextStoreRead = now + m_settings.listInterval;
 }
 
 ////////////////////////////////////////////////////////////
 void Controller::storeChanged(std::span<const state::Document> documents, core::Timestamp now, ControlActions& actions)
 {
-    if (takeDocuments(documents, now, actions))
-        tellNews(now, actions);
+    if (applyDocuments(documents, now, actions))
+        notifyPeers(now, actions);
 }
 
 ////////////////////////////////////////////////////////////
 void Controller::storeFailed(core::Timestamp now)
 {
     m_storeState = StoreState::Idle;
-    m_nextStore = now + m_storeBackoff.next(m_random);
+    m_nextStoreRead = now + m_storeBackoff.next(m_random);
 }
 
 ////////////////////////////////////////////////////////////
@@ -178,13 +178,13 @@
 ////////////////////////////////////////////////////////////
 void Controller::probed(const ServerReport& report, core::Timestamp now, ControlActions& actions)
 {
-    hearReport(report, now, actions);
+    applyReport(report, now, actions);
 }
 
 ////////////////////////////////////////////////////////////
 void Controller::serverLeaving(const ServerReport& report, core::Timestamp now, ControlActions& actions)
 {
-    hearReport(report, now, actions);
+    applyReport(report, now, actions);
 }
 
 ////////////////////////////////////////////////////////////
@@ -193,7 +193,7 @@
     m_leaving = true;
     m_members.leave(now);
     m_prober.release(now, actions);
-    tellNews(now, actions);
+    notifyPeers(now, actions);
 }
 
 ////////////////////////////////////////////////////////////
@@ -227,69 +227,71 @@
     digest.from = m_members.self();
     digest.revision = m_configuration.revision();
     digest.claims = m_members.claimsToTell(m_settings.maxClaims);
-    for (const bool leaving : {true, false})
+    for (const bool draining : {true, false})
     {
         for (auto& item : m_reports)
-            tellReport(item.second, leaving, now, digest);
+            appendReport(item.second, draining, now, digest);
     }
     return digest;
 }
 
 ////////////////////////////////////////////////////////////
-void Controller::tellReport(HeardReport& heard, bool leaving, core::Timestamp now, Digest& digest) const
+void Controller::appendReport(ReceivedReport& received, bool draining, core::Timestamp now, Digest& digest) const
 {
-    if (heard.report.draining != leaving || heard.told >= reportTold || digest.reports.size() >= m_settings.maxReports)
+    if (received.report.draining != draining || received.timesSent >= maxReportSends ||
+        digest.reports.size() >= m_settings.maxReports)
         return;
-    ++heard.told;
-    ServerReport report = heard.report;
-    report.ageMs = static_cast<std::uint32_t>(core::toMilliseconds(now - heard.at));
+    ++received.timesSent;
+    ServerReport report = received.report;
+    report.ageMs = static_cast<std::uint32_t>(core::toMilliseconds(now - received.at));
     digest.reports.push_back(std::move(report));
 }
 
 ////////////////////////////////////////////////////////////
-bool Controller::hearDigest(const Digest& digest, core::Timestamp now, ControlActions& actions)
+bool Controller::applyDigest(const Digest& digest, core::Timestamp now, ControlActions& actions)
 {
-    const bool mustDeny = m_members.heard(digest.from, now);
-    m_unanswered.erase(digest.from.name);
+    const bool mustRefute = m_members.heard(digest.from, now);
+    m_failedExchanges.erase(digest.from.name);
     m_members.merge(digest.claims, now);
     for (const ServerReport& report : digest.reports)
-        hearReport(report, now - std::chrono::milliseconds{report.ageMs}, actions);
+        applyReport(report, now - std::chrono::milliseconds{report.ageMs}, actions);
     if (digest.revision > m_configuration.revision() && !m_pulling)
     {
         m_pulling = true;
         actions.emplace_back(PullDocuments{digest.from.name, digest.from.address, m_configuration.revision()});
     }
-    return mustDeny;
+    return mustRefute;
 }
 
 ////////////////////////////////////////////////////////////
-void Controller::hearReport(const ServerReport& report, core::Timestamp at, ControlActions& actions)
+void Controller::applyReport(const ServerReport& report, core::Timestamp at, ControlActions& actions)
 {
-    HeardReport& heard = m_reports[reportKey(report)];
-    if (heard.at >= at)
+    ReceivedReport& received = m_reports[reportKey(report)];
+    if (received.at >= at)
         return;
     // That a server leaves must be everywhere within seconds, so it is passed on at once.
-    m_newsWaits = m_newsWaits || (report.draining && !heard.report.draining);
-    heard = {report, at, 0};
+    m_drainingNoticePending = m_drainingNoticePending || (report.draining && !received.report.draining);
+    received = {report, at, 0};
     actions.emplace_back(ApplyServerReport{report});
 }
 
 ////////////////////////////////////////////////////////////
-bool Controller::takeDocuments(std::span<const state::Document> documents, core::Timestamp now, ControlActions& actions)
+bool Controller::applyDocuments(std::span<const state::Document> documents, core::Timestamp now,
+                                ControlActions& actions)
 {
-    bool news = false;
+    bool changed = false;
     for (const state::Document& document : documents)
     {
         if (!m_configuration.offer(document))
             continue;
-        news = true;
-        putInForce(document, now, actions);
+        changed = true;
+        applyDocument(document, now, actions);
     }
-    return news;
+    return changed;
 }
 
 ////////////////////////////////////////////////////////////
-void Controller::putInForce(const state::Document& document, core::Timestamp now, ControlActions& actions)
+void Controller::applyDocument(const state::Document& document, core::Timestamp now, ControlActions& actions)
 {
     if (document.deleted)
     {
@@ -313,28 +315,28 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Controller::tellNews(core::Timestamp now, ControlActions& actions)
+void Controller::notifyPeers(core::Timestamp now, ControlActions& actions)
 {
     for (const membership::Member& peer : m_members.randomPeers(m_settings.fanout, m_random))
         exchangeWith(peer, now, actions);
 }
 
 ////////////////////////////////////////////////////////////
-void Controller::driveStore(core::Timestamp now, ControlActions& actions)
+void Controller::updateStoreAccess(core::Timestamp now, ControlActions& actions)
 {
-    const bool chosen = !m_leaving && m_chosenRelay;
-    if (m_relay && !chosen && m_storeState == StoreState::Watching)
+    const bool relayWanted = !m_leaving && m_relayWanted;
+    if (m_relay && !relayWanted && m_storeState == StoreState::Watching)
     {
         m_storeState = StoreState::Idle;
         actions.emplace_back(StopWatch{});
     }
-    m_relay = chosen;
+    m_relay = relayWanted;
     // Without a configuration a VM asks the store once, and again only if it has no peers to ask.
-    const bool newcomer = m_configuration.revision() == 0 && (!m_askedStore || m_alive.size() <= 1);
-    if ((m_relay || newcomer) && m_storeState == StoreState::Idle && now >= m_nextStore && !m_pulling)
+    const bool unconfigured = m_configuration.revision() == 0 && (!m_storeRequested || m_alive.size() <= 1);
+    if ((m_relay || unconfigured) && m_storeState == StoreState::Idle && now >= m_nextStoreRead && !m_pulling)
     {
         m_storeState = StoreState::Reading;
-        m_askedStore = true;
+        m_storeRequested = true;
         actions.emplace_back(ReadStore{});
     }
 }
--- a/src/sailpath/node/Dispatcher.cpp
+++ b/src/sailpath/node/Dispatcher.cpp
@@ -12,13 +12,14 @@
 {
 namespace
 {
-constexpr core::Duration soon = std::chrono::milliseconds{250};         // When a lack of servers or places may be over
-constexpr core::Duration leastComeBack = std::chrono::milliseconds{50}; // Never invite a caller back at once
+constexpr core::Duration defaultRetryAfter =
+    std::chrono::milliseconds{250};                                     // When a lack of servers or places may be over
+constexpr core::Duration minRetryAfter = std::chrono::milliseconds{50}; // Never invite a caller back at once
 
 ////////////////////////////////////////////////////////////
 Refusal refusal(RefusalReason reason, retries::Ran ran, core::Duration retryAfter)
 {
-    return {reason, ran, std::max(retryAfter, leastComeBack)};
+    return {reason, ran, std::max(retryAfter, minRetryAfter)};
 }
 
 ////////////////////////////////////////////////////////////
@@ -30,13 +31,13 @@
     switch (outcome.result)
     {
     case retries::AttemptResult::Shed:
-        return refusal(RefusalReason::ServerShed, ran, std::max(outcome.retryAfter, soon));
+        return refusal(RefusalReason::ServerShed, ran, std::max(outcome.retryAfter, defaultRetryAfter));
     case retries::AttemptResult::NotSent:
-        return refusal(RefusalReason::NotSent, ran, soon);
+        return refusal(RefusalReason::NotSent, ran, defaultRetryAfter);
     case retries::AttemptResult::Abandoned:
         return {RefusalReason::CallerGone, ran, {}};
     default:
-        return refusal(RefusalReason::OutcomeUnknown, ran, soon);
+        return refusal(RefusalReason::OutcomeUnknown, ran, defaultRetryAfter);
     }
 }
 
@@ -75,7 +76,7 @@
         pool->configure(service, now);
     }
     for (auto& item : pools)
-        pump(*item.second, now);
+        dispatchHeld(*item.second, now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -87,7 +88,7 @@
     for (auto& item : found->second.pools)
     {
         item.second->remove();
-        pump(*item.second, now);
+        dispatchHeld(*item.second, now);
     }
 }
 
@@ -97,7 +98,7 @@
     Step step;
     if (m_workspaces.empty())
     {
-        step.refusal = refusal(RefusalReason::NotConfigured, retries::Ran::No, soon);
+        step.refusal = refusal(RefusalReason::NotConfigured, retries::Ran::No, defaultRetryAfter);
         return step;
     }
     priv::Pool* pool = findPool(request.host);
@@ -110,11 +111,11 @@
     if (!m_shares.take(pool->workspace()))
     {
         ++pool->counters().refused;
-        step.refusal = refusal(RefusalReason::WorkspaceShare, retries::Ran::No, soon);
+        step.refusal = refusal(RefusalReason::WorkspaceShare, retries::Ran::No, defaultRetryAfter);
         return step;
     }
 
-    const Ticket         ticket = open(*pool);
+    const Ticket         ticket = openTicket(*pool);
     Pending&             pending = m_pending[ticket];
     const config::Route& route = pool->service().routeFor(request.method, request.path);
     pending.repeatable = route.repeatable;
@@ -126,7 +127,7 @@
     // Requests that wait already go first, except that batch waits for interactive.
     if (pool->queue().ahead(pending.priority) > 0)
         return holdOrRefuse(ticket, now);
-    const priv::Chosen chosen = pool->choose(queryFor(pending, now), m_random);
+    const priv::ChoiceResult chosen = pool->choose(queryFor(pending, now), m_random);
     switch (chosen.failure)
     {
     case priv::ChoiceFailure::None:
@@ -137,7 +138,7 @@
     case priv::ChoiceFailure::NoServer:
         break;
     }
-    return refuse(ticket, refusal(RefusalReason::NoServer, retries::Ran::No, soon));
+    return refuse(ticket, refusal(RefusalReason::NoServer, retries::Ran::No, defaultRetryAfter));
 }
 
 ////////////////////////////////////////////////////////////
@@ -150,11 +151,11 @@
     {
         const Target& target = *pool.target(pending.server);
         const auto    load = outcome.report.value_or(routing::LoadReport{});
-        m_news.push_back({target.workspace, target.service, target.server, load, true, 0});
+        m_drainingReports.push_back({target.workspace, target.service, target.server, load, true, 0});
     }
 
-    Step step = conclude(ticket, outcome, now);
-    pump(pool, now);
+    Step step = retryOrConclude(ticket, outcome, now);
+    dispatchHeld(pool, now);
     return step;
 }
 
@@ -165,7 +166,7 @@
     if (!pending.pool || !pending.held || !pending.pool->queue().remove(ticket))
         return false;
     --m_held;
-    close(ticket);
+    closeTicket(ticket);
     return true;
 }
 
@@ -178,8 +179,8 @@
     {
         for (auto& item : workspace.second.pools)
         {
-            expire(*item.second, now);
-            pump(*item.second, now);
+            expireHeld(*item.second, now);
+            dispatchHeld(*item.second, now);
         }
     }
 }
@@ -192,10 +193,10 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Dispatcher::takeDrainingReports(std::vector<ServerReport>& news)
+void Dispatcher::takeDrainingReports(std::vector<ServerReport>& reports)
 {
-    news.clear();
-    news.swap(m_news);
+    reports.clear();
+    reports.swap(m_drainingReports);
 }
 
 ////////////////////////////////////////////////////////////
@@ -240,7 +241,7 @@
     for (const auto& workspace : m_workspaces)
     {
         for (const auto& item : workspace.second.pools)
-            places += item.second->places();
+            places += item.second->entryCount();
     }
     return places;
 }
@@ -282,7 +283,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-Ticket Dispatcher::open(priv::Pool& pool)
+Ticket Dispatcher::openTicket(priv::Pool& pool)
 {
     if (m_freeTickets.empty())
     {
@@ -297,7 +298,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Dispatcher::close(Ticket ticket)
+void Dispatcher::closeTicket(Ticket ticket)
 {
     Pending& pending = m_pending[ticket];
     m_shares.give(pending.pool->workspace());
@@ -330,12 +331,12 @@
     Pending&             pending = m_pending[ticket];
     priv::Pool&          pool = *pending.pool;
     const core::Duration wait = pool.expectedWait(pool.queue().ahead(pending.priority));
-    const core::Duration bearable = std::min(pool.bearableWait(now), pending.deadline - now - pool.usualLatency());
-    if (wait > bearable)
+    const core::Duration longestWait = std::min(pool.longestWait(now), pending.deadline - now - pool.meanLatency());
+    if (wait > longestWait)
         return refuse(ticket, refusal(RefusalReason::WaitTooLong, retries::Ran::No, wait));
 
     std::optional<limits::WaitingRequest> displaced;
-    if (!pool.queue().push({ticket, pending.priority, now, now + bearable}, displaced))
+    if (!pool.queue().push({ticket, pending.priority, now, now + longestWait}, displaced))
         return refuse(ticket, refusal(RefusalReason::QueueFull, retries::Ran::No, wait));
     if (displaced)
     {
@@ -357,7 +358,7 @@
 Step Dispatcher::refuse(Ticket ticket, const Refusal& why)
 {
     ++m_pending[ticket].pool->counters().refused;
-    close(ticket);
+    closeTicket(ticket);
 
     Step step;
     step.verdict = Verdict::Refuse;
@@ -367,7 +368,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-Step Dispatcher::conclude(Ticket ticket, const Outcome& outcome, core::Timestamp now)
+Step Dispatcher::retryOrConclude(Ticket ticket, const Outcome& outcome, core::Timestamp now)
 {
     const Pending& pending = m_pending[ticket];
     priv::Pool&    pool = *pending.pool;
@@ -375,12 +376,12 @@
     if (failed && outcome.result != retries::AttemptResult::Abandoned)
     {
         // Find another server first, so that the budget pays only for retries that take place.
-        priv::Query query = queryFor(pending, now);
+        priv::ChoiceQuery query = queryFor(pending, now);
         query.excluded = pending.server;
-        const priv::Chosen           other = pool.choose(query, m_random);
+        const priv::ChoiceResult     other = pool.choose(query, m_random);
         const retries::AttemptRecord record{outcome.result,         pending.repeatable, outcome.bodyReplayable,
                                             outcome.retryForbidden, pending.attempts,   pending.deadline - now,
-                                            pool.usualLatency()};
+                                            pool.meanLatency()};
         if (other.failure == priv::ChoiceFailure::None &&
             retries::shouldRetry(record, pool.service().retry, pool.retryBudget()))
         {
@@ -393,7 +394,7 @@
     if (!passOn)
         return refuse(ticket, refusalAfter(outcome));
     ++pool.counters().answered;
-    close(ticket);
+    closeTicket(ticket);
     Step step;
     step.verdict = Verdict::Answer;
     step.ticket = ticket;
@@ -401,18 +402,18 @@
 }
 
 ////////////////////////////////////////////////////////////
-priv::Query Dispatcher::queryFor(const Pending& pending, core::Timestamp now) const
+priv::ChoiceQuery Dispatcher::queryFor(const Pending& pending, core::Timestamp now) const
 {
-    return {pending.priority, pending.repeatable, priv::Query::none, now};
+    return {pending.priority, pending.repeatable, priv::ChoiceQuery::none, now};
 }
 
 ////////////////////////////////////////////////////////////
-void Dispatcher::pump(priv::Pool& pool, core::Timestamp now)
+void Dispatcher::dispatchHeld(priv::Pool& pool, core::Timestamp now)
 {
     while (const limits::WaitingRequest* waiting = pool.queue().front())
     {
-        const Ticket       ticket = waiting->ticket;
-        const priv::Chosen chosen = pool.choose(queryFor(m_pending[ticket], now), m_random);
+        const Ticket             ticket = waiting->ticket;
+        const priv::ChoiceResult chosen = pool.choose(queryFor(m_pending[ticket], now), m_random);
         if (chosen.failure == priv::ChoiceFailure::AllBusy)
             return;
         pool.queue().pop();
@@ -425,13 +426,13 @@
         }
         else
         {
-            m_released.push_back(refuse(ticket, refusal(RefusalReason::NoServer, retries::Ran::No, soon)));
+            m_released.push_back(refuse(ticket, refusal(RefusalReason::NoServer, retries::Ran::No, defaultRetryAfter)));
         }
     }
 }
 
 ////////////////////////////////////////////////////////////
-void Dispatcher::expire(priv::Pool& pool, core::Timestamp now)
+void Dispatcher::expireHeld(priv::Pool& pool, core::Timestamp now)
 {
     while (const auto expired = pool.queue().popExpired(now))
     {
--- a/src/sailpath/node/Pool.cpp
+++ b/src/sailpath/node/Pool.cpp
@@ -62,7 +62,7 @@
 m_meanLatency(core::toMilliseconds(settings.initialWork))
 {
     assert(m_choice);
-    m_classWork.fill(core::toMilliseconds(settings.initialWork));
+    m_meanWork.fill(core::toMilliseconds(settings.initialWork));
 }
 
 ////////////////////////////////////////////////////////////
@@ -82,12 +82,12 @@
         known->removed = known->removed || std::find(all.begin(), all.end(), known->declaration) == all.end();
     }
     for (const config::BackendServer& server : service.servers)
-        declare(server, !first, now);
+        declareServer(server, !first, now);
     m_candidates.reserve(m_servers.size());
 }
 
 ////////////////////////////////////////////////////////////
-void Pool::declare(const config::BackendServer& server, bool cold, core::Timestamp now)
+void Pool::declareServer(const config::BackendServer& server, bool cold, core::Timestamp now)
 {
     const auto same = std::find_if(m_servers.begin(), m_servers.end(),
                                    [&](const auto& known) { return !known->removed && known->declaration == server; });
@@ -100,11 +100,11 @@
     // A server that joins a running pool may be cold.
     if (cold)
         added->health.startRamp(now);
-    place(std::move(added));
+    addServer(std::move(added));
 }
 
 ////////////////////////////////////////////////////////////
-void Pool::place(std::unique_ptr<Server> added)
+void Pool::addServer(std::unique_ptr<Server> added)
 {
     // Requests in flight hold indexes, so only the place of an idle server is used again.
     const auto idle =
@@ -125,12 +125,12 @@
 }
 
 ////////////////////////////////////////////////////////////
-Chosen Pool::choose(const Query& query, core::Random& random)
+ChoiceResult Pool::choose(const ChoiceQuery& query, core::Random& random)
 {
     m_candidates.clear();
     m_limitSum = 0;
-    const double work = classWork(query.priority);
-    bool         anyStanding = false;
+    const double work = meanWork(query.priority);
+    bool         anyAvailable = false;
     for (std::size_t i = 0; i < m_servers.size(); ++i)
     {
         const Server& server = *m_servers[i];
@@ -141,15 +141,15 @@
             return {ChoiceFailure::None, i};
         if (standing != routing::Standing::Healthy && standing != routing::Standing::Ramping)
             continue;
-        anyStanding = true;
+        anyAvailable = true;
         m_limitSum += limitOf(server, query.now);
-        if (!mayBeGiven(server, query))
+        if (!canAccept(server, query))
             continue;
-        const double finish = server.load.finishMilliseconds(query.now, m_meanOthers, work);
+        const double finish = server.load.finishMilliseconds(query.now, m_meanOtherRequests, work);
         m_candidates.push_back({i, finish / server.health.share(query.now), server.load.ownInFlight(),
                                 server.load.ownInFlight() + server.load.reportedOthers().value_or(0)});
     }
-    if (!anyStanding)
+    if (!anyAvailable)
         return {ChoiceFailure::NoServer, 0};
     const bool poolFull = m_settings.useLimits && m_ownInFlight >= std::max(1.0, m_limitSum);
     if (m_candidates.empty() || poolFull)
@@ -169,38 +169,38 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Pool::ended(std::size_t server, const Attempted& attempt, const Outcome& outcome, core::Timestamp now)
+bool Pool::ended(std::size_t server, const AttemptInfo& attempt, const Outcome& outcome, core::Timestamp now)
 {
-    Server& there = *m_servers[server];
-    there.load.ended(attempt.sentAt);
+    Server& attempted = *m_servers[server];
+    attempted.load.ended(attempt.sentAt);
     --m_ownInFlight;
     if (outcome.report)
-        learnReport(there, *outcome.report, now);
-    const bool spoke = outcome.report || outcome.draining;
-    const bool news = spoke && there.health.draining(outcome.draining, now);
+        recordReport(attempted, *outcome.report, now);
+    const bool carriesStatus = outcome.report || outcome.draining;
+    const bool startedDraining = carriesStatus && attempted.health.draining(outcome.draining, now);
 
     switch (outcome.result)
     {
     case retries::AttemptResult::Answered:
-        learnAnswer(there, attempt, now);
+        recordAnswer(attempted, attempt, now);
         break;
     case retries::AttemptResult::Shed:
-        there.limit.shed(now);
+        attempted.limit.shed(now);
         if (outcome.retryAfter.count() > 0)
-            there.health.backOff(now + outcome.retryAfter);
-        if (there.health.ejected())
-            learnFailure(there, now);
+            attempted.health.backOff(now + outcome.retryAfter);
+        if (attempted.health.ejected())
+            recordFailure(attempted, now);
         break;
     case retries::AttemptResult::Failed:
     case retries::AttemptResult::NotSent:
     case retries::AttemptResult::Unknown:
-        learnFailure(there, now);
+        recordFailure(attempted, now);
         break;
     case retries::AttemptResult::Abandoned:
-        there.health.trialAbandoned();
+        attempted.health.trialAbandoned();
         break;
     }
-    return news;
+    return startedDraining;
 }
 
 ////////////////////////////////////////////////////////////
@@ -208,7 +208,7 @@
 {
     if (Server* known = findServer(server))
     {
-        learnReport(*known, report, at);
+        recordReport(*known, report, at);
         (void)known->health.draining(draining, at);
     }
 }
@@ -228,22 +228,22 @@
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration Pool::usualLatency() const
+core::Duration Pool::meanLatency() const
 {
     return core::fromMilliseconds(m_meanLatency);
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration Pool::bearableWait(core::Timestamp now)
+core::Duration Pool::longestWait(core::Timestamp now)
 {
     if (!m_settings.usePatience)
         return m_service.maxWait;
     m_patience.observe(m_queue.size() == 0, now);
-    return m_patience.longest(m_service.maxWait, usualLatency(), now);
+    return m_patience.longest(m_service.maxWait, meanLatency(), now);
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t Pool::places() const
+std::size_t Pool::entryCount() const
 {
     return m_servers.size();
 }
@@ -297,12 +297,12 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Pool::mayBeGiven(const Server& server, const Query& query) const
+bool Pool::canAccept(const Server& server, const ChoiceQuery& query) const
 {
     if (query.priority == config::Priority::Batch)
     {
         const double room = std::max(1.0, server.load.slots() - batchHeadroom);
-        if (server.load.occupancy(query.now, m_meanOthers) + 1.0 > room)
+        if (server.load.occupancy(query.now, m_meanOtherRequests) + 1.0 > room)
             return false;
     }
     if (!m_settings.useLimits)
@@ -311,7 +311,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Pool::trialAllowed(const Query& query) const
+bool Pool::trialAllowed(const ChoiceQuery& query) const
 {
     // A request that may not be repeated is a poor trial, unless the service has no other.
     return query.repeatable || !m_anyRepeatable;
@@ -339,9 +339,9 @@
 }
 
 ////////////////////////////////////////////////////////////
-double& Pool::classWork(config::Priority priority)
+double& Pool::meanWork(config::Priority priority)
 {
-    return m_classWork.at(static_cast<std::size_t>(priority));
+    return m_meanWork.at(static_cast<std::size_t>(priority));
 }
 
 ////////////////////////////////////////////////////////////
@@ -354,28 +354,28 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Pool::learnReport(Server& server, routing::LoadReport report, core::Timestamp at)
+void Pool::recordReport(Server& server, routing::LoadReport report, core::Timestamp at)
 {
     server.load.reported(report, at);
     if (const auto others = server.load.reportedOthers())
-        m_meanOthers += reportGain * (*others - m_meanOthers);
+        m_meanOtherRequests += reportGain * (*others - m_meanOtherRequests);
 }
 
 ////////////////////////////////////////////////////////////
-void Pool::learnAnswer(Server& server, const Attempted& attempt, core::Timestamp now)
+void Pool::recordAnswer(Server& server, const AttemptInfo& attempt, core::Timestamp now)
 {
     if (server.health.ejected())
         server.load.resetWork();
     const core::Duration latency = now - attempt.sentAt;
-    double&              usual = classWork(attempt.priority);
-    usual += workGain * (server.load.learn(latency, usual) - usual);
+    double&              mean = meanWork(attempt.priority);
+    mean += workGain * (server.load.learn(latency, mean) - mean);
     server.health.succeeded(now);
-    server.limit.answered(server.load.occupancy(now, m_meanOthers), server.load.ownInFlight(), now);
+    server.limit.answered(server.load.occupancy(now, m_meanOtherRequests), server.load.ownInFlight(), now);
     m_meanLatency += latencyGain * (core::toMilliseconds(latency) - m_meanLatency);
 }
 
 ////////////////////////////////////////////////////////////
-void Pool::learnFailure(Server& server, core::Timestamp now)
+void Pool::recordFailure(Server& server, core::Timestamp now)
 {
     if (server.health.failed(now, mayEject()))
         ++m_counters.ejections;
--- a/src/sailpath/node/Pool.hpp
+++ b/src/sailpath/node/Pool.hpp
@@ -25,7 +25,7 @@
 ////////////////////////////////////////////////////////////
 /// \brief What a choice of a server must respect
 ////////////////////////////////////////////////////////////
-struct Query
+struct ChoiceQuery
 {
     static constexpr std::size_t none = std::numeric_limits<std::size_t>::max();
 
@@ -38,7 +38,7 @@
 ////////////////////////////////////////////////////////////
 /// \brief What is known of an attempt when it ends
 ////////////////////////////////////////////////////////////
-struct Attempted
+struct AttemptInfo
 {
     core::Timestamp  sentAt{};                                //!< When it was sent
     config::Priority priority{config::Priority::Interactive}; //!< Class of the request
@@ -57,7 +57,7 @@
 ////////////////////////////////////////////////////////////
 /// \brief Result of a choice
 ////////////////////////////////////////////////////////////
-struct Chosen
+struct ChoiceResult
 {
     ChoiceFailure failure{ChoiceFailure::NoServer}; //!< Whether there is a server
     std::size_t   server{0};                        //!< Its index
@@ -90,7 +90,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Choose a server
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] Chosen choose(const Query& query, core::Random& random);
+    [[nodiscard]] ChoiceResult choose(const ChoiceQuery& query, core::Random& random);
 
     ////////////////////////////////////////////////////////////
     /// \brief Note that a request was sent to a server
@@ -102,7 +102,7 @@
     ///
     /// \return Whether the server said for the first time that it is leaving
     ////////////////////////////////////////////////////////////
-    bool ended(std::size_t server, const Attempted& attempt, const Outcome& outcome, core::Timestamp now);
+    bool ended(std::size_t server, const AttemptInfo& attempt, const Outcome& outcome, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Hear a report about a server; unknown servers are ignored
@@ -122,14 +122,14 @@
     ////////////////////////////////////////////////////////////
     /// \brief Usual time from sending a request to its answer
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] core::Duration usualLatency() const;
+    [[nodiscard]] core::Duration meanLatency() const;
 
     ////////////////////////////////////////////////////////////
     /// \brief Longest wait that a request may be let in for now
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] core::Duration bearableWait(core::Timestamp now);
+    [[nodiscard]] core::Duration longestWait(core::Timestamp now);
 
-    [[nodiscard]] std::size_t                          places() const;
+    [[nodiscard]] std::size_t                          entryCount() const;
     [[nodiscard]] bool                                 removed() const;
     [[nodiscard]] const std::string&                   workspace() const;
     [[nodiscard]] const config::Service&               service() const;
@@ -166,17 +166,17 @@
         bool                          removed{false}; //!< No longer declared
     };
 
-    void                  declare(const config::BackendServer& server, bool cold, core::Timestamp now);
-    void                  place(std::unique_ptr<Server> added);
-    [[nodiscard]] bool    mayBeGiven(const Server& server, const Query& query) const;
-    [[nodiscard]] bool    trialAllowed(const Query& query) const;
+    void                  declareServer(const config::BackendServer& server, bool cold, core::Timestamp now);
+    void                  addServer(std::unique_ptr<Server> added);
+    [[nodiscard]] bool    canAccept(const Server& server, const ChoiceQuery& query) const;
+    [[nodiscard]] bool    trialAllowed(const ChoiceQuery& query) const;
     [[nodiscard]] bool    mayEject() const;
     [[nodiscard]] double  limitOf(const Server& server, core::Timestamp now) const;
-    [[nodiscard]] double& classWork(config::Priority priority);
+    [[nodiscard]] double& meanWork(config::Priority priority);
     [[nodiscard]] Server* findServer(std::string_view name);
-    void                  learnReport(Server& server, routing::LoadReport report, core::Timestamp at);
-    void                  learnAnswer(Server& server, const Attempted& attempt, core::Timestamp now);
-    void                  learnFailure(Server& server, core::Timestamp now);
+    void                  recordReport(Server& server, routing::LoadReport report, core::Timestamp at);
+    void                  recordAnswer(Server& server, const AttemptInfo& attempt, core::Timestamp now);
+    void                  recordFailure(Server& server, core::Timestamp now);
 
     std::string                            m_workspace;            //!< Name of the workspace
     const DispatcherSettings&              m_settings;             //!< Constants
@@ -189,9 +189,9 @@
     limits::WaitPatience                   m_patience;             //!< Shrinks while the queue stands
     retries::RetryBudget                   m_retryBudget;          //!< Retries allowed
     DispatcherCounters                     m_counters;             //!< Since the start
-    double                                 m_meanOthers{0};        //!< Others' requests a server, by recent reports
+    double                                 m_meanOtherRequests{0}; //!< Others' requests a server, by recent reports
     double                                 m_meanLatency;          //!< Recent latency, milliseconds
-    std::array<double, 2>                  m_classWork;            //!< Usual work by class, milliseconds
+    std::array<double, 2>                  m_meanWork;             //!< Usual work by class, milliseconds
     unsigned                               m_ownInFlight{0};       //!< Own requests at all servers
     double                                 m_limitSum{1};          //!< Sum of the limits at the last choice
     std::vector<routing::Candidate>        m_candidates;           //!< Reused by each choice
--- a/src/sailpath/node/Prober.cpp
+++ b/src/sailpath/node/Prober.cpp
@@ -45,22 +45,22 @@
 ////////////////////////////////////////////////////////////
 void Prober::configure(const config::Workspace& workspace, core::Timestamp now)
 {
-    Measured& measured = m_measured[workspace.name];
-    measured.rate = workspace.measuringBudget;
-    measured.group = static_cast<unsigned>(core::hash(workspace.name) % m_groups.size());
-    measured.servers = targetsOf(workspace);
-    measured.next = 0;
-    if (measured.budget)
-        measured.budget->setRate(measured.rate, now);
-    else if (m_groups[measured.group].held)
-        measured.budget.emplace(measured.rate, now);
+    ProbedWorkspace& probed = m_workspaces[workspace.name];
+    probed.rate = workspace.measuringBudget;
+    probed.group = static_cast<unsigned>(core::hash(workspace.name) % m_groups.size());
+    probed.servers = targetsOf(workspace);
+    probed.next = 0;
+    if (probed.budget)
+        probed.budget->setRate(probed.rate, now);
+    else if (m_groups[probed.group].held)
+        probed.budget.emplace(probed.rate, now);
 }
 
 ////////////////////////////////////////////////////////////
 void Prober::remove(std::string_view workspace)
 {
-    if (const auto found = m_measured.find(workspace); found != m_measured.end())
-        m_measured.erase(found);
+    if (const auto found = m_workspaces.find(workspace); found != m_workspaces.end())
+        m_workspaces.erase(found);
 }
 
 ////////////////////////////////////////////////////////////
@@ -75,7 +75,7 @@
 {
     const bool anyHeld = std::any_of(m_groups.begin(), m_groups.end(), [](const Group& group) { return group.held; });
     if (anyHeld && !m_lease.valid(now))
-        dropAll();
+        clearHeldGroups();
     acquire(now, actions);
     renew(now, actions);
     probe(now, actions);
@@ -84,10 +84,10 @@
 ////////////////////////////////////////////////////////////
 void Prober::leaseAnswered(const LeaseAnswer& answer, core::Timestamp now)
 {
-    m_pending = false;
+    m_requestPending = false;
     if (answer.result == LeaseResult::Gone)
     {
-        dropAll();
+        clearHeldGroups();
         return;
     }
     if (answer.result == LeaseResult::Failed)
@@ -98,7 +98,7 @@
     if (answer.renewal || answer.result != LeaseResult::Held || !m_lease.valid(now))
         return;
     m_groups[answer.group].held = true;
-    for (auto& item : m_measured)
+    for (auto& item : m_workspaces)
     {
         if (item.second.group == answer.group)
             item.second.budget.emplace(item.second.rate, now);
@@ -110,52 +110,52 @@
 {
     if (const auto lease = m_lease.id(now))
         actions.emplace_back(ReleaseLease{*lease});
-    dropAll();
+    clearHeldGroups();
 }
 
 ////////////////////////////////////////////////////////////
 double Prober::spent(std::string_view workspace) const
 {
-    const auto found = m_measured.find(workspace);
-    return found == m_measured.end() || !found->second.budget ? 0.0 : found->second.budget->spent();
+    const auto found = m_workspaces.find(workspace);
+    return found == m_workspaces.end() || !found->second.budget ? 0.0 : found->second.budget->spent();
 }
 
 ////////////////////////////////////////////////////////////
 bool Prober::mayProbe(std::string_view workspace, core::Timestamp now) const
 {
-    const auto found = m_measured.find(workspace);
-    return found != m_measured.end() && m_groups[found->second.group].held && m_lease.valid(now);
+    const auto found = m_workspaces.find(workspace);
+    return found != m_workspaces.end() && m_groups[found->second.group].held && m_lease.valid(now);
 }
 
 ////////////////////////////////////////////////////////////
-void Prober::dropAll()
+void Prober::clearHeldGroups()
 {
     m_lease.lost();
     for (Group& group : m_groups)
         group.held = false;
-    for (auto& item : m_measured)
+    for (auto& item : m_workspaces)
         item.second.budget.reset();
 }
 
 ////////////////////////////////////////////////////////////
-bool Prober::wanted(unsigned group) const
+bool Prober::shouldHold(unsigned group) const
 {
     if (!m_groups[group].chosen)
         return false;
-    return std::any_of(m_measured.begin(), m_measured.end(),
+    return std::any_of(m_workspaces.begin(), m_workspaces.end(),
                        [group](const auto& item) { return item.second.group == group && item.second.rate > 0; });
 }
 
 ////////////////////////////////////////////////////////////
 void Prober::acquire(core::Timestamp now, ControlActions& actions)
 {
-    for (unsigned group = 0; group < m_groups.size() && !m_pending; ++group)
+    for (unsigned group = 0; group < m_groups.size() && !m_requestPending; ++group)
     {
         Group& state = m_groups[group];
-        if (state.held || now < state.nextTry || !wanted(group))
+        if (state.held || now < state.nextTry || !shouldHold(group))
             continue;
         state.nextTry = now + m_settings.leaseLength / 2;
-        m_pending = true;
+        m_requestPending = true;
         actions.emplace_back(AcquireLease{group, m_lease.id(now).value_or(0)});
     }
 }
@@ -165,9 +165,9 @@
 {
     const auto lease = m_lease.id(now);
     const bool held = std::any_of(m_groups.begin(), m_groups.end(), [](const Group& group) { return group.held; });
-    if (!lease || !held || m_pending || now < m_renewAt)
+    if (!lease || !held || m_requestPending || now < m_renewAt)
         return;
-    m_pending = true;
+    m_requestPending = true;
     m_renewAt = now + m_settings.leaseLength / renewalsPerLease;
     actions.emplace_back(RenewLease{*lease});
 }
@@ -177,15 +177,15 @@
 {
     if (!m_lease.valid(now))
         return;
-    for (auto& item : m_measured)
+    for (auto& item : m_workspaces)
     {
-        Measured& measured = item.second;
-        if (!measured.budget || measured.servers.empty())
+        ProbedWorkspace& probed = item.second;
+        if (!probed.budget || probed.servers.empty())
             continue;
-        const auto& target = measured.servers[measured.next % measured.servers.size()];
-        if (!measured.budget->charge(target->probeCost, now))
+        const auto& target = probed.servers[probed.next % probed.servers.size()];
+        if (!probed.budget->charge(target->probeCost, now))
             continue;
-        ++measured.next;
+        ++probed.next;
         actions.emplace_back(SendProbe{target});
     }
 }
--- a/test/node/Controller.test.cpp
+++ b/test/node/Controller.test.cpp
@@ -25,7 +25,7 @@
 ////////////////////////////////////////////////////////////
 /// \brief Whether any node went back to an older revision within one life; the rule of the history check
 ////////////////////////////////////////////////////////////
-bool wentBack(const std::vector<support::AppliedChange>& history)
+bool revisionDecreased(const std::vector<support::AppliedChange>& history)
 {
     std::map<std::tuple<unsigned, unsigned, std::string>, std::uint64_t> newest;
     for (const support::AppliedChange& change : history)
@@ -49,12 +49,12 @@
 ////////////////////////////////////////////////////////////
 /// \brief The most that was spent in any window of a length
 ////////////////////////////////////////////////////////////
-double mostWithin(const std::vector<support::ProbeSent>& probes, core::Duration length)
+double maxCostWithin(const std::vector<support::ProbeSent>& probes, core::Duration length)
 {
-    double most = 0;
+    double maxCost = 0;
     for (const support::ProbeSent& probe : probes)
-        most = std::max(most, costWithin(probes, probe.at, length));
-    return most;
+        maxCost = std::max(maxCost, costWithin(probes, probe.at, length));
+    return maxCost;
 }
 
 } // namespace
@@ -62,10 +62,10 @@
 BOOST_AUTO_TEST_SUITE(Controller)
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(theHistoryCheckSeesABrokenHistory)
+BOOST_AUTO_TEST_CASE(theHistoryCheckDetectsADecreasingRevision)
 {
-    BOOST_TEST(!wentBack({{{}, 1, "a", 2, 1}, {{}, 1, "a", 3, 1}, {{}, 1, "a", 2, 2}, {{}, 2, "a", 2, 1}}));
-    BOOST_TEST(wentBack({{{}, 1, "a", 3, 1}, {{}, 1, "a", 2, 1}}));
+    BOOST_TEST(!revisionDecreased({{{}, 1, "a", 2, 1}, {{}, 1, "a", 3, 1}, {{}, 1, "a", 2, 2}, {{}, 2, "a", 2, 1}}));
+    BOOST_TEST(revisionDecreased({{{}, 1, "a", 3, 1}, {{}, 1, "a", 2, 1}}));
 }
 
 ////////////////////////////////////////////////////////////
@@ -80,12 +80,12 @@
     }
     const auto revision = group.remove("admissa");
     BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 2s));
-    BOOST_TEST(!wentBack(group.history));
+    BOOST_TEST(!revisionDecreased(group.history));
     BOOST_TEST(group.relays() == 3U);
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(allKnowOneAnotherAndAKilledNodeIsNoticed)
+BOOST_AUTO_TEST_CASE(allNodesSeeEachOtherAndDetectAKilledNode)
 {
     ControlGroup group({.nodes = 18});
     group.run(30s);
@@ -102,7 +102,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(lostCallsDoNotHideAFailureInALargeFleet)
+BOOST_AUTO_TEST_CASE(aFailedNodeIsDetectedInALargeFleetDespiteLostCalls)
 {
     ControlGroup group({.nodes = 200, .dataCentres = 7, .loss = 0.1});
     group.run(60s);
@@ -120,16 +120,17 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(allHearWithinSecondsThatAServerLeaves)
+BOOST_AUTO_TEST_CASE(allNodesLearnWithinSecondsThatAServerDrains)
 {
     for (const double loss : {0.0, 0.1})
     {
         ControlGroup group({.nodes = 18, .loss = loss});
         group.run(20s);
-        const core::Timestamp told = group.now();
+        const core::Timestamp reportedAt = group.now();
         group.serverLeaving(3);
         BOOST_TEST(group.runUntil([&] { return group.drainingHeardAt.size() == 18; }, 3s));
-        BOOST_TEST_MESSAGE("loss " << loss << ": all heard after " << core::toSeconds(group.now() - told) << " s");
+        BOOST_TEST_MESSAGE("loss " << loss << ": all heard after " << core::toSeconds(group.now() - reportedAt)
+                                   << " s");
     }
 }
 
@@ -146,7 +147,7 @@
         const auto revision = group.put("admissa", declaration("admissa"));
         BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 15s));
     }
-    BOOST_TEST(!wentBack(group.history));
+    BOOST_TEST(!revisionDecreased(group.history));
 }
 
 ////////////////////////////////////////////////////////////
@@ -181,7 +182,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aStoreRestoredFromABackupTakesNothingBack)
+BOOST_AUTO_TEST_CASE(aStoreRestoredFromABackupRevertsNothing)
 {
     ControlGroup group({.nodes = 16});
     for (int i = 0; i < 5; ++i)
@@ -192,11 +193,11 @@
     group.stop(3);
     group.start(3);
     group.run(30s);
-    BOOST_TEST(!wentBack(group.history));
+    BOOST_TEST(!revisionDecreased(group.history));
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aCutDataCentreCatchesUpWhenItIsBack)
+BOOST_AUTO_TEST_CASE(anIsolatedDataCentreCatchesUpOnceReconnected)
 {
     ControlGroup group({.nodes = 16});
     group.run(20s);
@@ -209,11 +210,11 @@
     BOOST_TEST(group.runUntil([&] { return group.allAlive(0) && group.allAlive(1); }, 120s));
     revision = group.put("admissa", declaration("admissa"));
     BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 2s));
-    BOOST_TEST(!wentBack(group.history));
+    BOOST_TEST(!revisionDecreased(group.history));
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aStaleListOfVmsDoesNoHarm)
+BOOST_AUTO_TEST_CASE(aStaleListOfVmsDoesNotDelayChanges)
 {
     ControlGroup group({.nodes = 16});
     group.stop(3);
@@ -225,7 +226,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(theMeasuringBudgetHoldsWhileProbersComeAndGo)
+BOOST_AUTO_TEST_CASE(theMeasuringBudgetHoldsWhileProbersAreReplaced)
 {
     constexpr double budget = 30;
     ControlGroup     group({.nodes = 16});
@@ -253,7 +254,7 @@
     }
     // One probe may be saved up and one may be under way when the right changes hands.
     for (const core::Duration window : {core::Duration{1s}, core::Duration{10s}, core::Duration{60s}})
-        BOOST_TEST(mostWithin(group.probes, window) <= budget * core::toSeconds(window) + 12.0);
+        BOOST_TEST(maxCostWithin(group.probes, window) <= budget * core::toSeconds(window) + 12.0);
     BOOST_TEST(group.probes.size() > 300U);
 }
 
--- a/test/node/Dispatcher.test.cpp
+++ b/test/node/Dispatcher.test.cpp
@@ -67,7 +67,7 @@
 BOOST_FIXTURE_TEST_SUITE(Dispatcher, Fixture)
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(withoutConfigurationNothingWrongIsServed)
+BOOST_AUTO_TEST_CASE(withoutConfigurationRequestsAreRefused)
 {
     node::Dispatcher empty{{}};
     const Step       step = empty.admit({"portal.admissa", "GET", "/", {}}, now);
@@ -78,7 +78,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(hostsOfOtherWorkspacesLeadNowhere)
+BOOST_AUTO_TEST_CASE(unknownHostsAreRefused)
 {
     for (const char* host : {"portal.quetzal", "ledger.admissa", "portal", ""})
     {
@@ -100,7 +100,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(whatIsNotRepeatableIsNeverSentAgainOnceItMayHaveArrived)
+BOOST_AUTO_TEST_CASE(nonRepeatableRequestsAreNotRetriedOnceTheyMayHaveArrived)
 {
     for (const AttemptResult result : {AttemptResult::Unknown, AttemptResult::Shed, AttemptResult::Abandoned})
     {
@@ -120,7 +120,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aRequestThatNeverLeftGoesToAnotherServer)
+BOOST_AUTO_TEST_CASE(aRequestThatWasNotSentGoesToAnotherServer)
 {
     const Step first = admit("POST", "/fees");
     const Step second = finish(first, AttemptResult::NotSent);
@@ -142,7 +142,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(noRetryBelowAnAnswerThatForbidsIt)
+BOOST_AUTO_TEST_CASE(noRetryAfterAnAnswerThatForbidsIt)
 {
     Outcome outcome;
     outcome.result = AttemptResult::Failed;
@@ -170,7 +170,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aHeldRequestIsGivenUpInTimeAndCanBeCancelled)
+BOOST_AUTO_TEST_CASE(aHeldRequestExpiresAndCanBeCancelled)
 {
     while (admit().verdict == Verdict::Forward)
     {
@@ -222,29 +222,29 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(leavingServersGetNothingAndPeersHearOfIt)
+BOOST_AUTO_TEST_CASE(drainingServersGetNoRequestsAndAreReportedOnce)
 {
     Outcome outcome;
     outcome.result = AttemptResult::Answered;
     outcome.draining = true;
     const Step step = admit();
     (void)dispatcher.finish(step.ticket, outcome, now);
-    std::vector<node::ServerReport> news;
-    dispatcher.takeDrainingReports(news);
-    BOOST_REQUIRE(news.size() == 1U);
-    BOOST_TEST(news.front().server == step.target->server);
+    std::vector<node::ServerReport> reports;
+    dispatcher.takeDrainingReports(reports);
+    BOOST_REQUIRE(reports.size() == 1U);
+    BOOST_TEST(reports.front().server == step.target->server);
     for (int i = 0; i < 100; ++i)
     {
         const Step next = admit();
         BOOST_TEST(next.target->server != step.target->server);
         (void)finish(next, AttemptResult::Answered);
     }
-    dispatcher.takeDrainingReports(news);
-    BOOST_TEST(news.empty());
+    dispatcher.takeDrainingReports(reports);
+    BOOST_TEST(reports.empty());
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aServerThatShedsAndSaysForHowLongGetsNothingBefore)
+BOOST_AUTO_TEST_CASE(aServerThatShedsGetsNoRequestsBeforeItsRetryAfter)
 {
     const Step shed = admit();
     Outcome    outcome;
@@ -253,31 +253,31 @@
     const Step again = dispatcher.finish(shed.ticket, outcome, now);
     BOOST_REQUIRE((again.verdict == Verdict::Forward));
     BOOST_TEST((finish(again, AttemptResult::Answered).verdict == Verdict::Answer));
-    std::set<std::string> got;
-    const auto            serve = [&](core::Duration time)
+    std::set<std::string> used;
+    const auto            serveFor = [&](core::Duration time)
     {
         for (const core::Timestamp until = now + time; now < until; now += 20ms)
         {
             const Step step = admit();
             BOOST_REQUIRE((step.verdict == Verdict::Forward));
-            got.insert(step.target->server);
+            used.insert(step.target->server);
             (void)finish(step, AttemptResult::Answered);
         }
     };
-    serve(2900ms);
-    BOOST_TEST(!got.contains(shed.target->server));
+    serveFor(2900ms);
+    BOOST_TEST(!used.contains(shed.target->server));
     // With the others busy it is used again, once its share has grown.
     now += 3s;
     for (int i = 0; i < 9; ++i)
     {
         if (const Step step = admit(); step.verdict == Verdict::Forward)
-            got.insert(step.target->server);
+            used.insert(step.target->server);
     }
-    BOOST_TEST(got.contains(shed.target->server));
+    BOOST_TEST(used.contains(shed.target->server));
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(whenAllServersShedAndSayForHowLongRequestsAreRefusedAtOnce)
+BOOST_AUTO_TEST_CASE(requestsAreRefusedAtOnceWhileAllServersShed)
 {
     Outcome outcome;
     outcome.result = AttemptResult::Shed;
@@ -295,7 +295,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aNewConfigurationKeepsWhatIsUnderWay)
+BOOST_AUTO_TEST_CASE(aNewConfigurationKeepsRequestsInFlight)
 {
     const Step        step = admit();
     config::Workspace changed = workspaceOf(4);
@@ -312,7 +312,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(serversThatComeAndGoLeaveNothingBehind)
+BOOST_AUTO_TEST_CASE(replacedServersLeaveNoEntriesBehind)
 {
     for (int i = 0; i < 500; ++i)
     {
@@ -327,7 +327,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aDeletedWorkspaceRefusesWhatWaits)
+BOOST_AUTO_TEST_CASE(aDeletedWorkspaceRefusesHeldRequests)
 {
     while (admit().verdict == Verdict::Forward)
     {
--- a/test/support/ControlGroup.cpp
+++ b/test/support/ControlGroup.cpp
@@ -8,8 +8,8 @@
 {
 namespace
 {
-constexpr core::Duration tickEvery = std::chrono::milliseconds{50};
-constexpr core::Duration answerTime = std::chrono::seconds{2};
+constexpr core::Duration tickInterval = std::chrono::milliseconds{50};
+constexpr core::Duration answerTimeout = std::chrono::seconds{2};
 
 ////////////////////////////////////////////////////////////
 std::string nameOf(unsigned node)
@@ -59,7 +59,7 @@
 std::uint64_t ControlGroup::put(const std::string& workspace, const std::string& text)
 {
     m_documents[workspace] = {workspace, text, ++m_revision, false};
-    pushChange(m_documents[workspace]);
+    notifyWatchers(m_documents[workspace]);
     return m_revision;
 }
 
@@ -67,7 +67,7 @@
 std::uint64_t ControlGroup::remove(const std::string& workspace)
 {
     m_documents[workspace] = {workspace, "", ++m_revision, true};
-    pushChange(m_documents[workspace]);
+    notifyWatchers(m_documents[workspace]);
     return m_revision;
 }
 
@@ -100,7 +100,7 @@
     {
         if (std::exchange(m_nodes[i].watch, 0) == 0)
             continue;
-        deliver(i, m_settings.storeTime,
+        deliver(i, m_settings.storeLatency,
                 [this](node::Controller& controller, node::ControlActions&)
                 { controller.storeFailed(m_events.now()); });
     }
@@ -117,8 +117,8 @@
 {
     m_nodes[node].controller.reset();
     m_nodes[node].watch = 0;
-    m_nodes[node].inForce.clear();
-    m_nodes[node].waiting.clear();
+    m_nodes[node].appliedRevisions.clear();
+    m_nodes[node].queued.clear();
 }
 
 ////////////////////////////////////////////////////////////
@@ -134,10 +134,11 @@
     settings.seed = m_settings.seed * 10'000 + node * 100UL + started.life;
     started.controller = std::make_unique<node::Controller>(settings, m_events.now());
     started.frozen = false;
-    started.inForce.clear();
+    started.appliedRevisions.clear();
     ++started.life;
     // Nodes do not tick in step.
-    const core::Duration phase{static_cast<std::int64_t>(m_random.below(static_cast<std::size_t>(tickEvery.count())))};
+    const core::Duration phase{
+        static_cast<std::int64_t>(m_random.below(static_cast<std::size_t>(tickInterval.count())))};
     m_events.after(phase, [this, node, life = started.life] { tick(node, life); });
 }
 
@@ -151,15 +152,15 @@
 void ControlGroup::thaw(unsigned node)
 {
     m_nodes[node].frozen = false;
-    const auto waiting = std::exchange(m_nodes[node].waiting, {});
-    for (const auto& work : waiting)
-        work();
+    const auto queued = std::exchange(m_nodes[node].queued, {});
+    for (const auto& call : queued)
+        call();
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::isolateDataCentre(unsigned dataCentre, bool cut)
+void ControlGroup::isolateDataCentre(unsigned dataCentre, bool isolated)
 {
-    m_cut[dataCentre] = cut;
+    m_isolated[dataCentre] = isolated;
 }
 
 ////////////////////////////////////////////////////////////
@@ -170,8 +171,8 @@
                        {
                            if (!node.controller)
                                return true;
-                           const auto found = node.inForce.find(workspace);
-                           return found != node.inForce.end() && found->second >= revision;
+                           const auto found = node.appliedRevisions.find(workspace);
+                           return found != node.appliedRevisions.end() && found->second >= revision;
                        });
 }
 
@@ -212,22 +213,22 @@
 
 ////////////////////////////////////////////////////////////
 void ControlGroup::deliver(unsigned node, core::Duration delay,
-                           std::function<void(node::Controller&, node::ControlActions&)> work)
+                           std::function<void(node::Controller&, node::ControlActions&)> call)
 {
     m_events.after(delay,
-                   [this, node, life = m_nodes[node].life, work = std::move(work)]
+                   [this, node, life = m_nodes[node].life, call = std::move(call)]
                    {
-                       const auto now = [this, node, life, work]
+                       const auto now = [this, node, life, call]
                        {
                            Node& target = m_nodes[node];
                            if (!target.controller || target.life != life)
                                return;
                            node::ControlActions actions;
-                           work(*target.controller, actions);
+                           call(*target.controller, actions);
                            perform(node, actions);
                        };
                        if (m_nodes[node].frozen)
-                           m_nodes[node].waiting.push_back(now);
+                           m_nodes[node].queued.push_back(now);
                        else
                            now();
                    });
@@ -237,7 +238,7 @@
 void ControlGroup::perform(unsigned node, node::ControlActions& actions)
 {
     for (const node::ControlAction& action : actions)
-        std::visit([this, node](const auto& item) { act(node, item); }, action);
+        std::visit([this, node](const auto& item) { handle(node, item); }, action);
 }
 
 ////////////////////////////////////////////////////////////
@@ -252,11 +253,11 @@
         target.controller->tick(m_events.now(), actions);
         perform(node, actions);
     }
-    m_events.after(tickEvery, [this, node, life] { tick(node, life); });
+    m_events.after(tickInterval, [this, node, life] { tick(node, life); });
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::act(unsigned node, const node::ExchangeWith& action)
+void ControlGroup::handle(unsigned node, const node::ExchangeWith& action)
 {
     ++exchanges;
     const unsigned peer = indexOf(action.address);
@@ -264,48 +265,49 @@
         peerBytes += digestSize(action.digest);
     if (!reachable(node, peer))
     {
-        deliver(node, answerTime,
+        deliver(node, answerTimeout,
                 [this, name = action.peer](node::Controller& controller, node::ControlActions& actions)
                 { controller.exchangeFailed(name, m_events.now(), actions); });
         return;
     }
-    deliver(peer, m_settings.oneWay,
+    deliver(peer, m_settings.peerDelay,
             [this, node, digest = action.digest](node::Controller& controller, node::ControlActions& actions)
             {
                 node::Digest answer = controller.exchangeReceived(digest, m_events.now(), actions);
                 if (digestSize)
                     peerBytes += digestSize(answer);
-                deliver(node, m_settings.oneWay,
-                        [this, answer](node::Controller& asker, node::ControlActions& more)
-                        { asker.exchanged(answer, m_events.now(), more); });
+                deliver(node, m_settings.peerDelay,
+                        [this, answer](node::Controller& requester, node::ControlActions& nextActions)
+                        { requester.exchanged(answer, m_events.now(), nextActions); });
             });
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::act(unsigned node, const node::PullDocuments& action)
+void ControlGroup::handle(unsigned node, const node::PullDocuments& action)
 {
     const unsigned peer = indexOf(action.address);
     if (!reachable(node, peer))
     {
-        deliver(node, answerTime, [](node::Controller& controller, node::ControlActions&) { controller.pullFailed(); });
+        deliver(node, answerTimeout,
+                [](node::Controller& controller, node::ControlActions&) { controller.pullFailed(); });
         return;
     }
-    deliver(peer, m_settings.oneWay,
+    deliver(peer, m_settings.peerDelay,
             [this, node, revision = action.revision](node::Controller& controller, node::ControlActions&)
             {
-                deliver(node, m_settings.oneWay,
+                deliver(node, m_settings.peerDelay,
                         [this, from = controller.members().self(), batch = controller.documentsSince(revision)](
-                            node::Controller& asker, node::ControlActions& actions)
-                        { asker.documentsReceived(from, batch, m_events.now(), actions); });
+                            node::Controller& requester, node::ControlActions& actions)
+                        { requester.documentsReceived(from, batch, m_events.now(), actions); });
             });
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::act(unsigned node, const node::ReadStore&)
+void ControlGroup::handle(unsigned node, const node::ReadStore&)
 {
     ++storeCalls;
     ++storeReads;
-    deliver(node, m_settings.storeTime,
+    deliver(node, m_settings.storeLatency,
             [this](node::Controller& controller, node::ControlActions& actions)
             {
                 if (m_outage)
@@ -321,12 +323,12 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::act(unsigned node, const node::WatchStore& action)
+void ControlGroup::handle(unsigned node, const node::WatchStore& action)
 {
     ++storeCalls;
     if (m_outage)
     {
-        deliver(node, m_settings.storeTime,
+        deliver(node, m_settings.storeLatency,
                 [this](node::Controller& controller, node::ControlActions&)
                 { controller.storeFailed(m_events.now()); });
         return;
@@ -337,7 +339,7 @@
     {
         if (item.second.revision < action.revision)
             continue;
-        deliver(node, m_settings.storeTime,
+        deliver(node, m_settings.storeLatency,
                 [this, document = item.second](node::Controller& controller, node::ControlActions& actions) {
                     controller.storeChanged({&document, 1}, m_events.now(), actions);
                 });
@@ -345,13 +347,13 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::act(unsigned node, const node::StopWatch&)
+void ControlGroup::handle(unsigned node, const node::StopWatch&)
 {
     m_nodes[node].watch = 0;
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::act(unsigned node, const node::ListMembers&)
+void ControlGroup::handle(unsigned node, const node::ListMembers&)
 {
     ++storeCalls;
     if (m_outage)
@@ -360,13 +362,13 @@
     for (const unsigned listed : m_vmList)
         members.push_back({nameOf(listed), std::to_string(listed), std::to_string(listed % m_settings.dataCentres), 0,
                            membership::MemberStatus::Alive});
-    deliver(node, m_settings.storeTime,
+    deliver(node, m_settings.storeLatency,
             [this, members](node::Controller& controller, node::ControlActions&)
             { controller.membersListed(members, m_events.now()); });
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::act(unsigned node, const node::AcquireLease& action)
+void ControlGroup::handle(unsigned node, const node::AcquireLease& action)
 {
     storeCalls += 2;
     node::LeaseAnswer answer;
@@ -377,19 +379,19 @@
     {
         expireLeases();
         answer.lease = m_leases.contains(action.lease) ? action.lease : m_nextLease++;
-        m_leases[answer.lease].until = m_events.now() + answer.length;
+        m_leases[answer.lease].expiresAt = m_events.now() + answer.length;
         const bool taken = m_groupKeys.contains(action.group);
         answer.result = taken ? node::LeaseResult::HeldByOther : node::LeaseResult::Held;
         if (!taken)
             m_groupKeys[action.group] = answer.lease;
     }
-    deliver(node, m_settings.storeTime,
+    deliver(node, m_settings.storeLatency,
             [this, answer](node::Controller& controller, node::ControlActions&)
             { controller.leaseAnswered(answer, m_events.now()); });
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::act(unsigned node, const node::RenewLease& action)
+void ControlGroup::handle(unsigned node, const node::RenewLease& action)
 {
     ++storeCalls;
     node::LeaseAnswer answer;
@@ -403,15 +405,15 @@
         const bool known = m_leases.contains(action.lease);
         answer.result = known ? node::LeaseResult::Held : node::LeaseResult::Gone;
         if (known)
-            m_leases[action.lease].until = m_events.now() + answer.length;
+            m_leases[action.lease].expiresAt = m_events.now() + answer.length;
     }
-    deliver(node, m_settings.storeTime,
+    deliver(node, m_settings.storeLatency,
             [this, answer](node::Controller& controller, node::ControlActions&)
             { controller.leaseAnswered(answer, m_events.now()); });
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::act(unsigned, const node::ReleaseLease& action)
+void ControlGroup::handle(unsigned, const node::ReleaseLease& action)
 {
     ++storeCalls;
     if (m_outage)
@@ -421,45 +423,45 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::act(unsigned node, const node::SendProbe& action)
+void ControlGroup::handle(unsigned node, const node::SendProbe& action)
 {
     probes.push_back({m_events.now(), node, action.target->workspace, core::toMilliseconds(action.target->probeCost)});
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::act(unsigned node, const node::ApplyWorkspace& action)
+void ControlGroup::handle(unsigned node, const node::ApplyWorkspace& action)
 {
     history.push_back({m_events.now(), node, action.workspace.name, action.revision, m_nodes[node].life});
-    m_nodes[node].inForce[action.workspace.name] = action.revision;
+    m_nodes[node].appliedRevisions[action.workspace.name] = action.revision;
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::act(unsigned node, const node::RemoveWorkspace& action)
+void ControlGroup::handle(unsigned node, const node::RemoveWorkspace& action)
 {
     history.push_back({m_events.now(), node, action.workspace, action.revision, m_nodes[node].life});
-    m_nodes[node].inForce[action.workspace] = action.revision;
+    m_nodes[node].appliedRevisions[action.workspace] = action.revision;
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::act(unsigned, const node::RejectedDocument&)
+void ControlGroup::handle(unsigned, const node::RejectedDocument&)
 {
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::act(unsigned node, const node::ApplyServerReport& action)
+void ControlGroup::handle(unsigned node, const node::ApplyServerReport& action)
 {
     if (action.report.draining)
         drainingHeardAt.try_emplace(node, m_events.now());
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::pushChange(const state::Document& document)
+void ControlGroup::notifyWatchers(const state::Document& document)
 {
     for (unsigned i = 0; i < m_nodes.size(); ++i)
     {
         if (m_nodes[i].watch == 0 || m_outage)
             continue;
-        deliver(i, m_settings.storeTime,
+        deliver(i, m_settings.storeLatency,
                 [this, document](node::Controller& controller, node::ControlActions& actions) {
                     controller.storeChanged({&document, 1}, m_events.now(), actions);
                 });
@@ -469,7 +471,7 @@
 ////////////////////////////////////////////////////////////
 void ControlGroup::expireLeases()
 {
-    std::erase_if(m_leases, [this](const auto& item) { return item.second.until <= m_events.now(); });
+    std::erase_if(m_leases, [this](const auto& item) { return item.second.expiresAt <= m_events.now(); });
     std::erase_if(m_groupKeys, [this](const auto& item) { return !m_leases.contains(item.second); });
 }
 
@@ -480,7 +482,7 @@
         return false;
     const unsigned fromCentre = from % m_settings.dataCentres;
     const unsigned toCentre = to % m_settings.dataCentres;
-    return fromCentre == toCentre || (!m_cut[fromCentre] && !m_cut[toCentre]);
+    return fromCentre == toCentre || (!m_isolated[fromCentre] && !m_isolated[toCentre]);
 }
 
 ////////////////////////////////////////////////////////////
--- a/test/support/ControlGroup.hpp
+++ b/test/support/ControlGroup.hpp
@@ -16,13 +16,13 @@
 ////////////////////////////////////////////////////////////
 struct GroupSettings
 {
-    unsigned       nodes{16};                               //!< VMs
-    unsigned       dataCentres{4};                          //!< Data centres, filled in turn
-    std::uint64_t  seed{1};                                 //!< Seed of everything random
-    double         loss{0};                                 //!< Share of calls between peers that are lost
-    core::Duration oneWay{std::chrono::microseconds{1500}}; //!< Between peers
-    core::Duration storeTime{std::chrono::milliseconds{3}}; //!< Of a call to the store
-    unsigned       probeGroups{4};                          //!< As in `ControllerSettings`
+    unsigned       nodes{16};                                  //!< VMs
+    unsigned       dataCentres{4};                             //!< Data centres, filled in turn
+    std::uint64_t  seed{1};                                    //!< Seed of everything random
+    double         loss{0};                                    //!< Share of calls between peers that are lost
+    core::Duration peerDelay{std::chrono::microseconds{1500}}; //!< Between peers
+    core::Duration storeLatency{std::chrono::milliseconds{3}}; //!< Of a call to the store
+    unsigned       probeGroups{4};                             //!< As in `ControllerSettings`
 };
 
 ////////////////////////////////////////////////////////////
@@ -70,13 +70,13 @@
     void          serverLeaving(unsigned node);         //!< A node's dispatcher hears a server say that it is leaving
     void          restoreStore(std::uint64_t revision); //!< The store falls back to an older state, as from a backup
 
-    void setOutage(bool outage);                           //!< The store answers nothing
-    void setVmList(std::vector<unsigned> nodes);           //!< Replace the platform's list
-    void stop(unsigned node);                              //!< Kill a node
-    void start(unsigned node);                             //!< Start it anew, knowing nothing
-    void freeze(unsigned node);                            //!< It does nothing; what reaches it waits
-    void thaw(unsigned node);                              //!< It goes on, with everything that waited
-    void isolateDataCentre(unsigned dataCentre, bool cut); //!< Its nodes reach only one another
+    void setOutage(bool outage);                                //!< The store answers nothing
+    void setVmList(std::vector<unsigned> nodes);                //!< Replace the platform's list
+    void stop(unsigned node);                                   //!< Kill a node
+    void start(unsigned node);                                  //!< Start it anew, knowing nothing
+    void freeze(unsigned node);                                 //!< It does nothing; what reaches it waits
+    void thaw(unsigned node);                                   //!< It goes on, with everything that waited
+    void isolateDataCentre(unsigned dataCentre, bool isolated); //!< Its nodes reach only one another
 
     [[nodiscard]] bool            appliedEverywhere(const std::string& workspace,
                                                     std::uint64_t      revision) const; //!< In force on all that run
@@ -102,38 +102,38 @@
 private:
     struct Node
     {
-        std::unique_ptr<node::Controller>    controller;    //!< Null when it is stopped
-        unsigned                             life{0};       //!< Starts so far
-        bool                                 frozen{false}; //!< Does nothing
-        std::vector<std::function<void()>>   waiting;       //!< What reaches it while frozen
-        std::uint64_t                        watch{0};      //!< Watch under way; 0 for none
-        std::map<std::string, std::uint64_t> inForce;       //!< Revision in force by workspace
+        std::unique_ptr<node::Controller>    controller;       //!< Null when it is stopped
+        unsigned                             life{0};          //!< Starts so far
+        bool                                 frozen{false};    //!< Does nothing
+        std::vector<std::function<void()>>   queued;           //!< What reaches it while frozen
+        std::uint64_t                        watch{0};         //!< Watch under way; 0 for none
+        std::map<std::string, std::uint64_t> appliedRevisions; //!< Revision in force by workspace
     };
 
     struct Lease
     {
-        core::Timestamp until{}; //!< End
+        core::Timestamp expiresAt{}; //!< End
     };
 
     void                   deliver(unsigned node, core::Duration delay,
-                                   std::function<void(node::Controller&, node::ControlActions&)> work);
+                                   std::function<void(node::Controller&, node::ControlActions&)> call);
     void                   perform(unsigned node, node::ControlActions& actions);
     void                   tick(unsigned node, unsigned life);
-    void                   act(unsigned node, const node::ExchangeWith& action);
-    void                   act(unsigned node, const node::PullDocuments& action);
-    void                   act(unsigned node, const node::ReadStore& action);
-    void                   act(unsigned node, const node::WatchStore& action);
-    void                   act(unsigned node, const node::StopWatch& action);
-    void                   act(unsigned node, const node::ListMembers& action);
-    void                   act(unsigned node, const node::AcquireLease& action);
-    void                   act(unsigned node, const node::RenewLease& action);
-    void                   act(unsigned node, const node::ReleaseLease& action);
-    void                   act(unsigned node, const node::SendProbe& action);
-    void                   act(unsigned node, const node::ApplyWorkspace& action);
-    void                   act(unsigned node, const node::RemoveWorkspace& action);
-    void                   act(unsigned node, const node::RejectedDocument& action);
-    void                   act(unsigned node, const node::ApplyServerReport& action);
-    void                   pushChange(const state::Document& document);
+    void                   handle(unsigned node, const node::ExchangeWith& action);
+    void                   handle(unsigned node, const node::PullDocuments& action);
+    void                   handle(unsigned node, const node::ReadStore& action);
+    void                   handle(unsigned node, const node::WatchStore& action);
+    void                   handle(unsigned node, const node::StopWatch& action);
+    void                   handle(unsigned node, const node::ListMembers& action);
+    void                   handle(unsigned node, const node::AcquireLease& action);
+    void                   handle(unsigned node, const node::RenewLease& action);
+    void                   handle(unsigned node, const node::ReleaseLease& action);
+    void                   handle(unsigned node, const node::SendProbe& action);
+    void                   handle(unsigned node, const node::ApplyWorkspace& action);
+    void                   handle(unsigned node, const node::RemoveWorkspace& action);
+    void                   handle(unsigned node, const node::RejectedDocument& action);
+    void                   handle(unsigned node, const node::ApplyServerReport& action);
+    void                   notifyWatchers(const state::Document& document);
     void                   expireLeases();
     [[nodiscard]] bool     reachable(unsigned from, unsigned to);
     [[nodiscard]] unsigned indexOf(const std::string& address) const;
@@ -149,7 +149,7 @@
     std::int64_t                           m_nextLease{1};  //!< Next lease id
     bool                                   m_outage{false}; //!< The store answers nothing
     std::vector<unsigned>                  m_vmList;        //!< The platform's list
-    std::map<unsigned, bool>               m_cut;           //!< Data centres that are cut off
+    std::map<unsigned, bool>               m_isolated;      //!< Data centres that are cut off
     std::uint64_t                          m_nextWatch{1};  //!< Next watch number
 };
 
