--- a/examples/OneDecision.cpp
+++ b/examples/OneDecision.cpp
@@ -1,4 +1,4 @@
-// Drives the decision logic of one node by hand: no sockets, no threads, no clock.
+// Calls the dispatcher of one node directly, without sockets, threads or a clock.
 
 #include <sailpath/node/Dispatcher.hpp>
 
--- a/include/sailpath/node/Controller.hpp
+++ b/include/sailpath/node/Controller.hpp
@@ -21,19 +21,19 @@
 namespace sailpath::node
 {
 ////////////////////////////////////////////////////////////
-/// \brief One node's control logic: membership, configuration, the right to probe
+/// \brief One node's control logic: membership, distribution of configuration, leases for probing
 ///
-/// Does no input or output, starts no threads and reads no clock. The
-/// program calls it with what happened and carries out the actions that it
-/// appends. Belongs to one thread.
+/// The controller does no input or output, starts no threads and reads no
+/// clock. The program reports each event with a call and carries out the
+/// actions that the call appends. All calls must come from one thread.
 ////////////////////////////////////////////////////////////
 class Controller
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Create a controller that knows nothing yet
+    /// \brief Create a controller without peers or configuration
     ///
-    /// \param settings Constants and this VM's own entry
+    /// \param settings Settings, and this VM's member entry
     /// \param now      Current time
     ////////////////////////////////////////////////////////////
     Controller(ControllerSettings settings, core::Timestamp now);
@@ -42,106 +42,106 @@
     Controller& operator=(const Controller&) = delete;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Let time pass; to be called about every 50 ms
+    /// \brief Advance to the current time; to be called about every 50 ms
     ////////////////////////////////////////////////////////////
     void tick(core::Timestamp now, ControlActions& actions);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear a peer's digest and answer with the own one
+    /// \brief Process a peer's digest and return this VM's digest as the answer
     ////////////////////////////////////////////////////////////
     [[nodiscard]] Digest exchangeReceived(const Digest& digest, core::Timestamp now, ControlActions& actions);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear a peer's answer to an `ExchangeWith`
+    /// \brief Process a peer's answer to an `ExchangeWith`
     ////////////////////////////////////////////////////////////
     void exchanged(const Digest& answer, core::Timestamp now, ControlActions& actions);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note that an `ExchangeWith` brought no answer; the peer is asked again before it is suspected
+    /// \brief Record that an `ExchangeWith` got no answer; the exchange is repeated before the peer is suspected
     ////////////////////////////////////////////////////////////
     void exchangeFailed(std::string_view peer, core::Timestamp now, ControlActions& actions);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Documents for a peer that asks
+    /// \brief Get the documents newer than a revision, for a peer that requested them
     ////////////////////////////////////////////////////////////
     [[nodiscard]] state::DocumentBatch documentsSince(std::uint64_t revision) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear the answer to a `PullDocuments`
+    /// \brief Process the answer to a `PullDocuments`
     ///
-    /// \param peer  The peer that answered
-    /// \param batch What it sent
+    /// \param peer  Peer that answered
+    /// \param batch Documents that the peer sent
     ////////////////////////////////////////////////////////////
     void documentsReceived(const membership::Member& peer, const state::DocumentBatch& batch, core::Timestamp now,
                            ControlActions& actions);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note that a `PullDocuments` brought no answer
+    /// \brief Record that a `PullDocuments` got no answer
     ////////////////////////////////////////////////////////////
     void pullFailed();
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear the answer to a `ReadStore`
+    /// \brief Process the answer to a `ReadStore`
     ///
-    /// \param documents All documents
-    /// \param revision  The store's revision at the time
+    /// \param documents All documents in the store
+    /// \param revision  Revision of the store at the time of the read
     ////////////////////////////////////////////////////////////
     void storeRead(std::span<const state::Document> documents, std::uint64_t revision, core::Timestamp now,
                    ControlActions& actions);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear a change from the watch
+    /// \brief Process a change reported by the watch on the store
     ////////////////////////////////////////////////////////////
     void storeChanged(std::span<const state::Document> documents, core::Timestamp now, ControlActions& actions);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note that a `ReadStore` failed or the watch ended
+    /// \brief Record that a `ReadStore` failed or the watch ended
     ////////////////////////////////////////////////////////////
     void storeFailed(core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear the platform's list of VMs, which lags
+    /// \brief Process the platform's list of VMs, which may be out of date
     ////////////////////////////////////////////////////////////
     void membersListed(std::span<const membership::Member> members, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear what came of a lease request
+    /// \brief Process the answer to an `AcquireLease` or a `RenewLease`
     ////////////////////////////////////////////////////////////
     void leaseAnswered(const LeaseAnswer& answer, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear what a probe found
+    /// \brief Process the result of a `SendProbe`
     ////////////////////////////////////////////////////////////
     void probed(const ServerReport& report, core::Timestamp now, ControlActions& actions);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear from the own dispatcher that a server says it is leaving; peers are told at once
+    /// \brief Process the dispatcher's report that a server is draining, and pass the report to peers at once
     ////////////////////////////////////////////////////////////
     void serverLeaving(const ServerReport& report, core::Timestamp now, ControlActions& actions);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Announce that this VM stops
+    /// \brief Announce to peers that this VM stops, and release its lease
     ////////////////////////////////////////////////////////////
     void leave(core::Timestamp now, ControlActions& actions);
 
-    [[nodiscard]] std::uint64_t                  revision() const; //!< Revision in force
-    [[nodiscard]] const membership::MemberTable& members() const;  //!< Membership
-    [[nodiscard]] const Prober&                  prober() const;   //!< Measuring
-    [[nodiscard]] bool                           relay() const;    //!< Whether this VM watches the store
+    [[nodiscard]] std::uint64_t revision() const; //!< Revision up to which the configuration is complete
+    [[nodiscard]] const membership::MemberTable& members() const; //!< Members known to this VM
+    [[nodiscard]] const Prober&                  prober() const;  //!< Prober of this VM
+    [[nodiscard]] bool                           relay() const; //!< Whether this VM is a relay, which watches the store
 
 private:
     enum class StoreState
     {
-        Idle,    //!< Nothing under way
-        Reading, //!< A `ReadStore` is under way
-        Watching //!< The watch runs
+        Idle,    //!< No read or watch in progress
+        Reading, //!< A `ReadStore` is in progress
+        Watching //!< The watch on the store is active
     };
 
     struct ReceivedReport
     {
-        ServerReport    report;       //!< What was found
-        core::Timestamp at{};         //!< When
-        unsigned        timesSent{0}; //!< Times that it was told
+        ServerReport    report;       //!< Latest report
+        core::Timestamp at{};         //!< When the report was made
+        unsigned        timesSent{0}; //!< Times that the report was put into a digest
     };
 
     [[nodiscard]] Digest makeDigest(core::Timestamp now);
@@ -156,28 +156,28 @@
     void               exchangeWith(const membership::Member& peer, core::Timestamp now, ControlActions& actions);
     [[nodiscard]] core::Duration jittered(core::Duration duration);
 
-    ControllerSettings        m_settings;                     //!< Constants
-    core::Random              m_random;                       //!< For choices
-    membership::MemberTable   m_members;                      //!< Membership
-    state::ConfigurationState m_configuration;                //!< Documents
-    Prober                    m_prober;                       //!< Measuring
-    state::Backoff            m_storeBackoff;                 //!< After failures of the store
-    StoreState                m_storeState{StoreState::Idle}; //!< What is under way with the store
-    bool                      m_relay{false};                 //!< Chosen to watch the store
-    bool                      m_pulling{false};               //!< A `PullDocuments` is under way
-    core::Timestamp           m_nextStoreRead;                //!< Next try at the store
-    core::Timestamp           m_nextExchange;                 //!< Next exchange
-    core::Timestamp           m_nextMemberList;               //!< Next reading of the list of VMs
-    core::Timestamp           m_nextDrainingNotice{};         //!< Next telling of servers that leave
-    bool                      m_drainingNoticePending{false}; //!< There is such news
-    bool                      m_leaving{false};               //!< This VM stops
-    bool                      m_storeRequested{false};        //!< The store was asked since the start
-    std::uint64_t             m_memberVersion{
-        std::numeric_limits<std::uint64_t>::max()}; //!< Version of the members that the next two belong to
-    std::vector<std::string_view>   m_alive;                    //!< Names of the live VMs, this one included
-    bool                            m_relayWanted{false};       //!< Among the live VMs, chosen to watch the store
-    core::StringMap<ReceivedReport> m_reports;                  //!< Fresh reports by server
-    core::StringMap<unsigned>       m_failedExchanges;          //!< Exchanges in a row without an answer, by peer
+    ControllerSettings            m_settings;                     //!< Settings
+    core::Random                  m_random;                       //!< Source of peer choices and jitter
+    membership::MemberTable       m_members;                      //!< Members known to this VM
+    state::ConfigurationState     m_configuration;                //!< Documents in force
+    Prober                        m_prober;                       //!< Leases and probes of this VM
+    state::Backoff                m_storeBackoff;                 //!< Delay after failed store requests
+    StoreState                    m_storeState{StoreState::Idle}; //!< Store request in progress
+    bool                          m_relay{false};                 //!< Whether this VM watches the store
+    bool                          m_pulling{false};               //!< A `PullDocuments` is in progress
+    core::Timestamp               m_nextStoreRead;                //!< Time of the next `ReadStore`
+    core::Timestamp               m_nextExchange;                 //!< Time of the next periodic exchange
+    core::Timestamp               m_nextMemberList;               //!< Time of the next `ListMembers`
+    core::Timestamp               m_nextDrainingNotice{}; //!< Earliest time of the next notice of draining servers
+    bool                          m_drainingNoticePending{false}; //!< A notice of a draining server has to be sent
+    bool                          m_leaving{false};               //!< This VM is stopping
+    bool                          m_storeRequested{false};        //!< The store was read at least once since the start
+    std::uint64_t                 m_memberVersion{std::numeric_limits<
+        std::uint64_t>::max()}; //!< Version of the members from which `m_alive` and `m_relayWanted` were computed
+    std::vector<std::string_view> m_alive;     //!< Names of the live VMs, including this VM
+    bool m_relayWanted{false};                 //!< Whether this VM is chosen among the live VMs to watch the store
+    core::StringMap<ReceivedReport> m_reports; //!< Recent reports by server
+    core::StringMap<unsigned>       m_failedExchanges; //!< Consecutive exchanges without an answer, by peer
 };
 
 } // namespace sailpath::node
--- a/include/sailpath/node/Digest.hpp
+++ b/include/sailpath/node/Digest.hpp
@@ -10,14 +10,14 @@
 namespace sailpath::node
 {
 ////////////////////////////////////////////////////////////
-/// \brief What two peers tell each other in one exchange
+/// \brief Membership, revision and server reports that a peer sends in one exchange
 ////////////////////////////////////////////////////////////
 struct Digest
 {
-    membership::Member              from;        //!< The sender
-    std::uint64_t                   revision{0}; //!< Revision up to which its configuration is complete
-    std::vector<membership::Member> claims;      //!< Claims about members
-    std::vector<ServerReport>       reports;     //!< Fresh reports about servers
+    membership::Member              from;        //!< Member entry of the sender
+    std::uint64_t                   revision{0}; //!< Revision up to which the sender's configuration is complete
+    std::vector<membership::Member> claims;      //!< Claims about the status of members
+    std::vector<ServerReport>       reports;     //!< Recent reports about servers
 };
 
 } // namespace sailpath::node
--- a/include/sailpath/node/Dispatcher.hpp
+++ b/include/sailpath/node/Dispatcher.hpp
@@ -26,10 +26,10 @@
 } // namespace priv
 
 ////////////////////////////////////////////////////////////
-/// \brief One node's decisions about requests
+/// \brief Decides on one node which server each request goes to, and queues, retries or refuses requests
 ///
-/// Does no input or output, starts no threads and reads no clock. Not
-/// thread-safe: the program that drives it locks.
+/// The dispatcher does no input or output, starts no threads and reads no
+/// clock. The class is not thread-safe; the program must lock around calls.
 ////////////////////////////////////////////////////////////
 class Dispatcher
 {
@@ -39,7 +39,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Create a dispatcher without configuration
     ///
-    /// \param settings Constants and strategies
+    /// \param settings Limits and strategies
     ////////////////////////////////////////////////////////////
     explicit Dispatcher(DispatcherSettings settings);
 
@@ -48,113 +48,114 @@
     Dispatcher& operator=(const Dispatcher&) = delete;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Put a workspace's configuration in force
+    /// \brief Apply a workspace's configuration
     ///
-    /// Servers that stay keep what was learned of them; those that are gone
-    /// get no new requests.
+    /// Servers that stay declared keep their load and health state. Servers
+    /// that are no longer declared get no new requests.
     ////////////////////////////////////////////////////////////
     void configure(const config::Workspace& workspace, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Put the deletion of a workspace in force
+    /// \brief Apply the deletion of a workspace
     ////////////////////////////////////////////////////////////
     void removeWorkspace(std::string_view workspace, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Decide about a request that has arrived
+    /// \brief Decide what to do with a request that has arrived
     ///
     /// \return `Forward`, `Hold` or `Refuse`
     ////////////////////////////////////////////////////////////
     [[nodiscard]] Step admit(const Request& request, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Decide what follows an attempt that has ended
+    /// \brief Decide what to do after an attempt has ended
     ///
     /// \return `Answer`, `Forward` or `Refuse`
     ////////////////////////////////////////////////////////////
     [[nodiscard]] Step finish(Ticket ticket, const Outcome& outcome, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Drop a request that is held, as when its caller hung up
+    /// \brief Remove a held request, for example when the caller closed the connection
     ///
-    /// \return False when it is no longer held
+    /// \return False if the request is no longer held
     ////////////////////////////////////////////////////////////
     bool cancelHeld(Ticket ticket, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Do what has become due with the passing of time
+    /// \brief Refuse held requests whose wait has expired, and forward held requests where possible
     ////////////////////////////////////////////////////////////
     void tick(core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Move the steps for held requests that were decided since the last call
+    /// \brief Take the steps for held requests that were decided since the last call
     ///
-    /// \param steps Receives the steps; its old contents are dropped
+    /// \param steps Receives the steps; its previous contents are discarded
     ////////////////////////////////////////////////////////////
     void takeReleased(std::vector<Step>& steps);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Move the news of servers that say they are leaving, for peers to hear
+    /// \brief Take the reports of servers that began to drain since the last call, to be sent to peers
     ///
-    /// \param news Receives the news; its old contents are dropped
+    /// \param reports Receives the reports; its previous contents are discarded
     ////////////////////////////////////////////////////////////
     void takeDrainingReports(std::vector<ServerReport>& reports);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear a report about a server from a probe or a peer
+    /// \brief Process a report about a server from a probe or a peer
     ////////////////////////////////////////////////////////////
     void reported(std::string_view workspace, std::string_view service, std::string_view server,
                   routing::LoadReport report, bool draining, core::Timestamp at);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Requests that are held
+    /// \brief Get the number of held requests
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::size_t held() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Requests held or at a server
+    /// \brief Get the number of requests that are held or in flight
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::size_t unfinished() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Servers that memory is held for, those no longer declared included
+    /// \brief Get the number of server entries in memory, including servers that are no longer declared
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::size_t serverEntries() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Visit each service's counters
+    /// \brief Visit the counters of each service
     ////////////////////////////////////////////////////////////
     void visitCounters(
         const std::function<void(std::string_view, std::string_view, const DispatcherCounters&)>& visit) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Visit each server in force with what it may be given now
+    /// \brief Visit each declared server with its current standing
     ////////////////////////////////////////////////////////////
     void visitServers(core::Timestamp now, const ServerVisitor& visit) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note that a server that was leaving has closed its connections
+    /// \brief Record that a draining server has closed its connections
     ///
-    /// From here on it is tried again by single requests, as it may be back.
+    /// The server may have restarted, so single trial requests are sent to it
+    /// from now on.
     ////////////////////////////////////////////////////////////
     void serverGone(const Target& target, core::Timestamp now);
 
 private:
     struct Workspace
     {
-        core::StringMap<std::unique_ptr<priv::Pool>> pools; //!< By service
+        core::StringMap<std::unique_ptr<priv::Pool>> pools; //!< Pools by service
     };
 
     struct Pending
     {
-        priv::Pool*      pool{nullptr};                           //!< Its service's pool; null when free
-        std::size_t      server{0};                               //!< Index of the server it is at
-        bool             held{false};                             //!< Waits in the pool's queue
-        bool             repeatable{false};                       //!< May run more than once
-        config::Priority priority{config::Priority::Interactive}; //!< Its class
-        unsigned         attempts{0};                             //!< Attempts made
+        priv::Pool*      pool{nullptr};     //!< Pool of the request's service; null when the entry is free
+        std::size_t      server{0};         //!< Index of the server of the current attempt
+        bool             held{false};       //!< The request is in the pool's queue
+        bool             repeatable{false}; //!< The request may run more than once
+        config::Priority priority{config::Priority::Interactive}; //!< Priority class of the request
+        unsigned         attempts{0};                             //!< Number of attempts so far
         core::Timestamp  sentAt{};                                //!< Start of the current attempt
-        core::Timestamp  deadline{};                              //!< When it must be done
+        core::Timestamp  deadline{};                              //!< Time by which the request must be finished
     };
 
     [[nodiscard]] priv::Pool*       findPool(std::string_view host);
@@ -168,15 +169,15 @@
     void                            dispatchHeld(priv::Pool& pool, core::Timestamp now);
     void                            expireHeld(priv::Pool& pool, core::Timestamp now);
 
-    DispatcherSettings         m_settings;        //!< Constants and strategies
-    core::Random               m_random;          //!< For choices
-    limits::WorkspaceShares    m_shares;          //!< Places by workspace
-    core::StringMap<Workspace> m_workspaces;      //!< Configuration in force
-    std::vector<Pending>       m_pending;         //!< By ticket
-    std::vector<Ticket>        m_freeTickets;     //!< Tickets to use again
-    std::vector<Step>          m_released;        //!< Steps for held requests
-    std::vector<ServerReport>  m_drainingReports; //!< Servers that began to leave
-    std::size_t                m_held{0};         //!< Requests held
+    DispatcherSettings         m_settings;        //!< Limits and strategies
+    core::Random               m_random;          //!< Source of random choices
+    limits::WorkspaceShares    m_shares;          //!< Shares of `maxRequests` by workspace
+    core::StringMap<Workspace> m_workspaces;      //!< Workspaces by name
+    std::vector<Pending>       m_pending;         //!< Requests by ticket
+    std::vector<Ticket>        m_freeTickets;     //!< Tickets that are free for reuse
+    std::vector<Step>          m_released;        //!< Steps that `takeReleased` returns
+    std::vector<ServerReport>  m_drainingReports; //!< Reports that `takeDrainingReports` returns
+    std::size_t                m_held{0};         //!< Number of held requests
 };
 
 } // namespace sailpath::node
--- a/include/sailpath/node/LeaseAnswer.hpp
+++ b/include/sailpath/node/LeaseAnswer.hpp
@@ -7,14 +7,14 @@
 namespace sailpath::node
 {
 ////////////////////////////////////////////////////////////
-/// \brief What came of acquiring or renewing a lease
+/// \brief Result of acquiring or renewing a lease
 ////////////////////////////////////////////////////////////
 enum class LeaseResult
 {
-    Held,        //!< Granted or renewed, and the key is ours
-    HeldByOther, //!< The lease lives, but another VM has the key
-    Gone,        //!< The store no longer knows the lease
-    Failed       //!< No answer; nothing is known
+    Held,        //!< The lease was granted or renewed, and this VM has the key
+    HeldByOther, //!< The lease is valid, but another VM has the key
+    Gone,        //!< The lease has expired or was revoked
+    Failed       //!< The store did not answer, so the state of the lease is unknown
 };
 
 ////////////////////////////////////////////////////////////
@@ -22,11 +22,11 @@
 ////////////////////////////////////////////////////////////
 struct LeaseAnswer
 {
-    LeaseResult     result{LeaseResult::Failed}; //!< What came of it
-    bool            renewal{false};              //!< Answers a `RenewLease`
-    unsigned        group{0};                    //!< For an acquisition: the probe group
-    std::int64_t    lease{0};                    //!< The store's id
-    core::Duration  length{};                    //!< Length granted
+    LeaseResult     result{LeaseResult::Failed}; //!< Result of the request
+    bool            renewal{false};              //!< Whether the request was a `RenewLease`
+    unsigned        group{0};                    //!< Probe group of an `AcquireLease`
+    std::int64_t    lease{0};                    //!< Id of the lease in the store
+    core::Duration  length{};                    //!< Granted length, counted from `sentAt`
     core::Timestamp sentAt{};                    //!< When the request was sent
 };
 
--- a/include/sailpath/node/Outcome.hpp
+++ b/include/sailpath/node/Outcome.hpp
@@ -9,16 +9,16 @@
 namespace sailpath::node
 {
 ////////////////////////////////////////////////////////////
-/// \brief How an attempt ended, as the forwarding program saw it
+/// \brief Result of an attempt as observed by the program that forwarded the request
 ////////////////////////////////////////////////////////////
 struct Outcome
 {
-    retries::AttemptResult             result{retries::AttemptResult::Unknown}; //!< How it ended
-    std::optional<routing::LoadReport> report;                                  //!< Load report on the answer
-    bool                               draining{false};       //!< The answer says that the server is leaving
-    bool                               retryForbidden{false}; //!< The answer says not to retry
-    bool                               bodyReplayable{true};  //!< Whether the request's body can be sent once more
-    core::Duration                     retryAfter{};          //!< When the server says to come back, if it does
+    retries::AttemptResult             result{retries::AttemptResult::Unknown}; //!< Result of the attempt
+    std::optional<routing::LoadReport> report;                                  //!< Load report carried by the answer
+    bool                               draining{false};       //!< The answer states that the server is draining
+    bool                               retryForbidden{false}; //!< The answer forbids retries
+    bool                               bodyReplayable{true};  //!< Whether the request's body can be sent again
+    core::Duration retryAfter{}; //!< Time after which the server accepts a retry; zero if the answer names none
 };
 
 } // namespace sailpath::node
--- a/include/sailpath/node/Prober.hpp
+++ b/include/sailpath/node/Prober.hpp
@@ -17,82 +17,83 @@
 namespace sailpath::node
 {
 ////////////////////////////////////////////////////////////
-/// \brief Measures backend servers within the workspaces' budgets, on the one VM that holds the right to
+/// \brief Probes backend servers within the workspaces' budgets while this VM holds the lease
 ///
-/// Workspaces fall into groups, and each group's right to probe is a key in
-/// the store under a lease. Without the store nobody probes, so a budget is
-/// never overdrawn by VMs that disagree about who is alive.
+/// Each workspace belongs to a probe group. The VM that has the group's key
+/// in the store, under a lease, probes for the group. No VM probes while the
+/// store is unavailable, so VMs that disagree about which VMs are alive
+/// cannot overdraw a budget.
 ////////////////////////////////////////////////////////////
 class Prober
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Create a prober that holds nothing
+    /// \brief Create a prober that holds no lease
     ///
-    /// \param settings Outlives the prober
+    /// \param settings Settings; must outlive the prober
     ////////////////////////////////////////////////////////////
     explicit Prober(const ControllerSettings& settings);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Learn a workspace's servers and budget
+    /// \brief Set a workspace's servers and budget
     ////////////////////////////////////////////////////////////
     void configure(const config::Workspace& workspace, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Forget a workspace
+    /// \brief Remove a workspace
     ////////////////////////////////////////////////////////////
     void remove(std::string_view workspace);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Learn who is alive, which decides who is to probe for which group
+    /// \brief Set the live VMs, from which the prober of each group is chosen
     ///
-    /// \param alive Names of the live VMs, this one included
+    /// \param alive Names of the live VMs, including this VM
     ////////////////////////////////////////////////////////////
     void membersChanged(std::span<const std::string_view> alive);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Acquire, renew and use the right to probe
+    /// \brief Acquire and renew the lease, and send the probes that are due
     ///
     /// \param now     Current time
-    /// \param actions Receives what is to be done
+    /// \param actions Receives the actions to carry out
     ////////////////////////////////////////////////////////////
     void tick(core::Timestamp now, ControlActions& actions);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Learn what came of a lease request
+    /// \brief Process the answer to a lease request
     ////////////////////////////////////////////////////////////
     void leaseAnswered(const LeaseAnswer& answer, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Give up the right to probe at once, as this VM stops
+    /// \brief Release the lease at once because this VM stops
     ////////////////////////////////////////////////////////////
     void release(core::Timestamp now, ControlActions& actions);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Server-milliseconds that this VM has charged to a workspace since it took up its group
+    /// \brief Get the milliseconds of server time charged to a workspace since this VM acquired the probe group
     ////////////////////////////////////////////////////////////
     [[nodiscard]] double spent(std::string_view workspace) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Whether this VM may probe a workspace's servers now
+    /// \brief Check whether this VM may probe a workspace's servers now
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool mayProbe(std::string_view workspace, core::Timestamp now) const;
 
 private:
     struct ProbedWorkspace
     {
-        double                                     rate{0};  //!< Server-milliseconds a second
-        unsigned                                   group{0}; //!< Its probe group
-        std::vector<std::shared_ptr<const Target>> servers;  //!< All its servers
-        std::size_t                                next{0};  //!< Server to probe next
-        std::optional<limits::MeasuringBudget>     budget;   //!< While the group is held
+        double                                     rate{0};  //!< Budget in milliseconds of server time per second
+        unsigned                                   group{0}; //!< Number of the probe group
+        std::vector<std::shared_ptr<const Target>> servers;  //!< Servers of all services
+        std::size_t next{0}; //!< Index of the next server to probe, modulo the number of servers
+        std::optional<limits::MeasuringBudget> budget; //!< Budget account while the group is held
     };
 
     struct Group
     {
-        bool            chosen{false}; //!< This VM is to probe for it
-        bool            held{false};   //!< The key is ours
-        core::Timestamp nextTry{};     //!< Next acquisition
+        bool            chosen{false}; //!< This VM is chosen to probe for the group
+        bool            held{false};   //!< This VM has the group's key
+        core::Timestamp nextTry{};     //!< Earliest time of the next `AcquireLease`
     };
 
     void               clearHeldGroups();
@@ -101,12 +102,12 @@
     void               renew(core::Timestamp now, ControlActions& actions);
     void               probe(core::Timestamp now, ControlActions& actions);
 
-    const ControllerSettings&        m_settings;              //!< Constants
-    core::StringMap<ProbedWorkspace> m_workspaces;            //!< By workspace
-    std::vector<Group>               m_groups;                //!< By number
-    state::HeldLease                 m_lease;                 //!< One lease for all groups held
-    bool                             m_requestPending{false}; //!< A lease request is on its way
-    core::Timestamp                  m_renewAt{};             //!< Next renewal
+    const ControllerSettings&        m_settings;              //!< Settings
+    core::StringMap<ProbedWorkspace> m_workspaces;            //!< Probed workspaces by name
+    std::vector<Group>               m_groups;                //!< Groups by number
+    state::HeldLease                 m_lease;                 //!< Lease of all groups that are held
+    bool                             m_requestPending{false}; //!< A lease request is in progress
+    core::Timestamp                  m_renewAt{};             //!< Time of the next renewal
 };
 
 } // namespace sailpath::node
--- a/include/sailpath/node/Refusal.hpp
+++ b/include/sailpath/node/Refusal.hpp
@@ -8,43 +8,43 @@
 namespace sailpath::node
 {
 ////////////////////////////////////////////////////////////
-/// \brief Why a request gets no answer from a server
+/// \brief Reason why a request is refused instead of being answered by a server
 ////////////////////////////////////////////////////////////
 enum class RefusalReason
 {
     NotConfigured,    //!< This VM has no configuration yet
-    UnknownService,   //!< No service has that host
-    NoServer,         //!< No server of the service may be given anything now
-    QueueFull,        //!< As many requests wait as may
-    WaitTooLong,      //!< It would wait longer than it can or may
-    WorkspaceShare,   //!< The workspace holds its share of this VM
-    DeadlinePassed,   //!< Its deadline passed
-    ServerShed,       //!< The server refused it for load
-    NotSent,          //!< No server could be reached
-    OutcomeUnknown,   //!< It was sent and no whole answer came
-    CallerGone,       //!< The caller hung up
-    Duplicate,        //!< Another sending has the same idempotency key
-    ClaimsUnavailable //!< The key could not be made durable
+    UnknownService,   //!< No service matches the host
+    NoServer,         //!< No server of the service accepts requests now
+    QueueFull,        //!< The service's queue is full
+    WaitTooLong,      //!< The wait, actual or expected, exceeds the longest wait or the deadline
+    WorkspaceShare,   //!< The workspace has used up its share of this VM's requests
+    DeadlinePassed,   //!< The request's deadline has passed
+    ServerShed,       //!< The server rejected the request because of overload
+    NotSent,          //!< The request could not be sent to any server
+    OutcomeUnknown,   //!< The request was sent and no complete answer arrived
+    CallerGone,       //!< The caller closed the connection
+    Duplicate,        //!< Another request has the same idempotency key
+    ClaimsUnavailable //!< The claim on the idempotency key could not be stored durably
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief The name of a reason in answers, logs and metrics
+/// \brief Get the name of a reason as written in answers, logs and metrics
 ////////////////////////////////////////////////////////////
 [[nodiscard]] std::string_view toString(RefusalReason reason);
 
 ////////////////////////////////////////////////////////////
-/// \brief The name of an execution state in answers and logs
+/// \brief Get the name of an execution state as written in answers and logs
 ////////////////////////////////////////////////////////////
 [[nodiscard]] std::string_view toString(retries::Ran ran);
 
 ////////////////////////////////////////////////////////////
-/// \brief A final refusal
+/// \brief Final refusal of a request
 ////////////////////////////////////////////////////////////
 struct Refusal
 {
-    RefusalReason  reason{RefusalReason::NoServer}; //!< Why
-    retries::Ran   ran{retries::Ran::No};           //!< Whether the request ran
-    core::Duration retryAfter{};                    //!< When to come back; zero when there is no use in it
+    RefusalReason  reason{RefusalReason::NoServer}; //!< Reason of the refusal
+    retries::Ran   ran{retries::Ran::No};           //!< Whether a server ran the request
+    core::Duration retryAfter{};                    //!< Delay before a retry can succeed; zero when a retry is useless
 };
 
 } // namespace sailpath::node
--- a/include/sailpath/node/Request.hpp
+++ b/include/sailpath/node/Request.hpp
@@ -8,14 +8,14 @@
 namespace sailpath::node
 {
 ////////////////////////////////////////////////////////////
-/// \brief A caller's request, as far as decisions need it
+/// \brief Properties of a caller's request that the dispatcher's decisions depend on
 ////////////////////////////////////////////////////////////
 struct Request
 {
-    std::string_view              host;     //!< Host header
-    std::string_view              method;   //!< HTTP method
-    std::string_view              path;     //!< Path without the query
-    std::optional<core::Duration> timeLeft; //!< Time the caller still waits, when it says so
+    std::string_view              host; //!< Value of the Host header
+    std::string_view              method;
+    std::string_view              path;     //!< Path of the URL without the query
+    std::optional<core::Duration> timeLeft; //!< Time until the caller's deadline, if the request states one
 };
 
 } // namespace sailpath::node
--- a/include/sailpath/node/ServerReport.hpp
+++ b/include/sailpath/node/ServerReport.hpp
@@ -8,16 +8,16 @@
 namespace sailpath::node
 {
 ////////////////////////////////////////////////////////////
-/// \brief What was heard of a backend server, as peers tell one another
+/// \brief Report about a backend server, as exchanged between peers
 ////////////////////////////////////////////////////////////
 struct ServerReport
 {
-    std::string         workspace;       //!< Workspace
-    std::string         service;         //!< Service
-    std::string         server;          //!< Backend server
-    routing::LoadReport load;            //!< What it said
-    bool                draining{false}; //!< It says that it is leaving
-    std::uint32_t       ageMs{0};        //!< Age when it was told
+    std::string         workspace;       //!< Name of the workspace
+    std::string         service;         //!< Name of the service
+    std::string         server;          //!< Name of the backend server
+    routing::LoadReport load;            //!< Load that the server reported
+    bool                draining{false}; //!< Whether the server is draining
+    std::uint32_t       ageMs{0};        //!< Age of the report when it was sent, milliseconds
 };
 
 } // namespace sailpath::node
--- a/include/sailpath/node/Step.hpp
+++ b/include/sailpath/node/Step.hpp
@@ -10,33 +10,33 @@
 namespace sailpath::node
 {
 ////////////////////////////////////////////////////////////
-/// \brief The node's number for a request that it has not finished with
+/// \brief Number that identifies an unfinished request on a node
 ////////////////////////////////////////////////////////////
 using Ticket = std::uint32_t;
 
 ////////////////////////////////////////////////////////////
-/// \brief What is to be done with a request next
+/// \brief Next action for a request
 ////////////////////////////////////////////////////////////
 enum class Verdict
 {
-    Forward, //!< Send it to `target`, then report the outcome
-    Hold,    //!< Wait; a later step for the same ticket follows
-    Answer,  //!< Pass the server's answer on; the ticket is done
-    Refuse   //!< Answer with `refusal`; the ticket is done
+    Forward, //!< Send the request to `target` and report the outcome
+    Hold,    //!< Keep the request queued; a later step for the same ticket follows
+    Answer,  //!< Pass the server's answer to the caller; the ticket is no longer valid
+    Refuse   //!< Answer the caller with `refusal`; the ticket is no longer valid
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief One decision about one request
+/// \brief Decision about a request
 ////////////////////////////////////////////////////////////
 struct Step
 {
-    Verdict                       verdict{Verdict::Refuse}; //!< What to do
-    Ticket                        ticket{0};                //!< Which request; unused when it was refused on arrival
-    std::shared_ptr<const Target> target;                   //!< For `Forward`: where to
-    unsigned                      attempt{0};               //!< For `Forward`: 1 for the first attempt
-    bool                          repeatable{false};        //!< Whether the request may run more than once
-    core::Timestamp               deadline{};               //!< When the request must be done
-    Refusal                       refusal;                  //!< For `Refuse`
+    Verdict                       verdict{Verdict::Refuse}; //!< Next action for the request
+    Ticket                        ticket{0};  //!< Ticket of the request; unused if the request was refused on arrival
+    std::shared_ptr<const Target> target;     //!< Server to send to, for `Forward`
+    unsigned                      attempt{0}; //!< Number of the attempt, for `Forward`; the first attempt is 1
+    bool                          repeatable{false}; //!< Whether the request may run more than once
+    core::Timestamp               deadline{};        //!< Time by which the request must be finished
+    Refusal                       refusal;           //!< Reason and retry delay, for `Refuse`
 };
 
 } // namespace sailpath::node
--- a/include/sailpath/node/Target.hpp
+++ b/include/sailpath/node/Target.hpp
@@ -8,19 +8,19 @@
 namespace sailpath::node
 {
 ////////////////////////////////////////////////////////////
-/// \brief Where a request is to be sent
+/// \brief Backend server that a request or probe is sent to
 ////////////////////////////////////////////////////////////
 struct Target
 {
-    std::string    workspace;     //!< Workspace of the service
-    std::string    service;       //!< Service of the server
+    std::string    workspace;     //!< Name of the workspace
+    std::string    service;       //!< Name of the service
     std::string    server;        //!< Name of the backend server
-    std::string    address;       //!< IP number
+    std::string    address;       //!< IP address
     std::uint16_t  port{};        //!< TCP port
-    std::string    probePath;     //!< What a probe asks for
-    core::Duration probeCost{};   //!< Server time that a probe takes
-    unsigned       connections{}; //!< Connections the server accepts in all
-    core::Duration claimWindow{}; //!< How long copies of a keyed request are recognised
+    std::string    probePath;     //!< Path that a probe requests
+    core::Duration probeCost{};   //!< Server time that a probe uses
+    unsigned       connections{}; //!< Total connections that the server accepts
+    core::Duration claimWindow{}; //!< Period in which duplicates of a request with an idempotency key are recognised
 };
 
 } // namespace sailpath::node
--- a/src/sailpath/node/Controller.cpp
+++ b/src/sailpath/node/Controller.cpp
@@ -13,7 +13,7 @@
 constexpr core::Duration   maxBackoff = std::chrono::seconds{10};
 constexpr core::Duration   reportLifetime = std::chrono::seconds{3};
 constexpr core::Duration   drainingNoticeInterval = std::chrono::milliseconds{250};
-constexpr unsigned         maxReportSends = 4; // Times that one VM tells a report
+constexpr unsigned         maxReportSends = 4; // Digests in which a VM repeats a report
 constexpr unsigned         failuresBeforeSuspicion = 3;
 constexpr std::string_view relayTask = "store-relay";
 
@@ -53,7 +53,7 @@
     if (!m_leaving)
         m_prober.tick(now, actions);
 
-    // The list of VMs is for those that know nobody, and for relays to keep up with it.
+    // The platform's list is read by VMs without peers, and by relays to find new VMs.
     const bool isolated = m_alive.size() <= 1;
     if (now >= m_nextMemberList && (m_relay || isolated))
     {
@@ -92,7 +92,7 @@
 ////////////////////////////////////////////////////////////
 void Controller::exchangeFailed(std::string_view peer, core::Timestamp now, ControlActions& actions)
 {
-    // One lost call must not raise a suspicion that the whole fleet then has to hear and deny.
+    // A single lost call must not cause a suspicion, which would spread through the fleet until refuted.
     unsigned&  failures = m_failedExchanges[std::string(peer)];
     const auto member = m_members.find(peer);
     if (++failures < failuresBeforeSuspicion && member && member->status == membership::MemberStatus::Alive)
@@ -269,7 +269,7 @@
     ReceivedReport& received = m_reports[reportKey(report)];
     if (received.at >= at)
         return;
-    // That a server leaves must be everywhere within seconds, so it is passed on at once.
+    // Every node must know within seconds that a server is draining, so peers are notified at once.
     m_drainingNoticePending = m_drainingNoticePending || (report.draining && !received.report.draining);
     received = {report, at, 0};
     actions.emplace_back(ApplyServerReport{report});
@@ -331,7 +331,7 @@
         actions.emplace_back(StopWatch{});
     }
     m_relay = relayWanted;
-    // Without a configuration a VM asks the store once, and again only if it has no peers to ask.
+    // A VM without a configuration reads the store once, and again only while there are no peers to ask.
     const bool unconfigured = m_configuration.revision() == 0 && (!m_storeRequested || m_alive.size() <= 1);
     if ((m_relay || unconfigured) && m_storeState == StoreState::Idle && now >= m_nextStoreRead && !m_pulling)
     {
--- a/src/sailpath/node/Dispatcher.cpp
+++ b/src/sailpath/node/Dispatcher.cpp
@@ -12,9 +12,8 @@
 {
 namespace
 {
-constexpr core::Duration defaultRetryAfter =
-    std::chrono::milliseconds{250};                                     // When a lack of servers or places may be over
-constexpr core::Duration minRetryAfter = std::chrono::milliseconds{50}; // Never invite a caller back at once
+constexpr core::Duration defaultRetryAfter = std::chrono::milliseconds{250}; // Estimated length of a shortage
+constexpr core::Duration minRetryAfter = std::chrono::milliseconds{50};      // Keeps callers from retrying at once
 
 ////////////////////////////////////////////////////////////
 Refusal refusal(RefusalReason reason, retries::Ran ran, core::Duration retryAfter)
@@ -23,7 +22,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief The refusal that follows an attempt that brought no answer
+/// \brief Create the refusal for a request whose last attempt brought no answer
 ////////////////////////////////////////////////////////////
 Refusal refusalAfter(const Outcome& outcome)
 {
@@ -124,7 +123,7 @@
     if (pending.deadline <= now)
         return refuse(ticket, {RefusalReason::DeadlinePassed, retries::Ran::No, {}});
 
-    // Requests that wait already go first, except that batch waits for interactive.
+    // Queued requests go first, except that batch requests do not go before interactive ones.
     if (pool->queue().ahead(pending.priority) > 0)
         return holdOrRefuse(ticket, now);
     const priv::ChoiceResult chosen = pool->choose(queryFor(pending, now), m_random);
@@ -375,7 +374,7 @@
     const bool     failed = outcome.result != retries::AttemptResult::Answered;
     if (failed && outcome.result != retries::AttemptResult::Abandoned)
     {
-        // Find another server first, so that the budget pays only for retries that take place.
+        // Another server is chosen first, so that only retries that take place are charged to the retry budget.
         priv::ChoiceQuery query = queryFor(pending, now);
         query.excluded = pending.server;
         const priv::ChoiceResult     other = pool.choose(query, m_random);
--- a/src/sailpath/node/Pool.cpp
+++ b/src/sailpath/node/Pool.cpp
@@ -7,11 +7,11 @@
 {
 namespace
 {
-constexpr double reportGain = 0.05;    // Share of one report in the pool's mean
-constexpr double workGain = 0.02;      // Share of one answer in the usual work of its class
-constexpr double latencyGain = 0.05;   // Share of one answer in the pool's latency
-constexpr double ejectableShare = 0.5; // Of the pool's servers, at most
-constexpr double batchHeadroom = 1.0;  // Slots of each server that batch requests leave free
+constexpr double reportGain = 0.05;    // Weight of one report in the mean of other nodes' requests
+constexpr double workGain = 0.02;      // Weight of one answer in the mean work of the priority class
+constexpr double latencyGain = 0.05;   // Weight of one answer in the mean latency
+constexpr double ejectableShare = 0.5; // Largest share of the pool's servers that may be ejected at once
+constexpr double batchHeadroom = 1.0;  // Slots that batch requests leave free at each server
 
 ////////////////////////////////////////////////////////////
 std::shared_ptr<const Target> makeTarget(const std::string& workspace, const config::Service& service,
@@ -97,7 +97,7 @@
         return;
     }
     auto added = std::make_unique<Server>(makeTarget(m_workspace, m_service, server), server, m_settings);
-    // A server that joins a running pool may be cold.
+    // A server that joins a running pool may be cold, so the load on the server is ramped up.
     if (cold)
         added->health.startRamp(now);
     addServer(std::move(added));
@@ -106,7 +106,7 @@
 ////////////////////////////////////////////////////////////
 void Pool::addServer(std::unique_ptr<Server> added)
 {
-    // Requests in flight hold indexes, so only the place of an idle server is used again.
+    // Requests in flight refer to servers by index, so only the entry of an idle server is reused.
     const auto idle =
         std::find_if(m_servers.begin(), m_servers.end(),
                      [](const auto& server) { return server->removed && server->load.ownInFlight() == 0; });
@@ -313,7 +313,7 @@
 ////////////////////////////////////////////////////////////
 bool Pool::trialAllowed(const ChoiceQuery& query) const
 {
-    // A request that may not be repeated is a poor trial, unless the service has no other.
+    // A trial may fail, so it uses a repeatable request unless the service has none.
     return query.repeatable || !m_anyRepeatable;
 }
 
--- a/src/sailpath/node/Pool.hpp
+++ b/src/sailpath/node/Pool.hpp
@@ -23,48 +23,48 @@
 namespace sailpath::node::priv
 {
 ////////////////////////////////////////////////////////////
-/// \brief What a choice of a server must respect
+/// \brief Constraints on the choice of a server
 ////////////////////////////////////////////////////////////
 struct ChoiceQuery
 {
     static constexpr std::size_t none = std::numeric_limits<std::size_t>::max();
 
-    config::Priority priority{config::Priority::Interactive}; //!< Class of the request
-    bool             repeatable{false};                       //!< Whether it may serve as a trial
-    std::size_t      excluded{none};                          //!< Server that must not be chosen
-    core::Timestamp  now{};                                   //!< Current time
+    config::Priority priority{config::Priority::Interactive}; //!< Priority class of the request
+    bool             repeatable{false}; //!< Whether the request may run more than once and so may serve as a trial
+    std::size_t      excluded{none};    //!< Index of a server that must not be chosen
+    core::Timestamp  now{};             //!< Current time
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What is known of an attempt when it ends
+/// \brief Properties of an attempt that has ended
 ////////////////////////////////////////////////////////////
 struct AttemptInfo
 {
-    core::Timestamp  sentAt{};                                //!< When it was sent
-    config::Priority priority{config::Priority::Interactive}; //!< Class of the request
+    core::Timestamp  sentAt{};                                //!< Time at which the request was sent
+    config::Priority priority{config::Priority::Interactive}; //!< Priority class of the request
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Why a choice gave no server
+/// \brief Reason why no server was chosen
 ////////////////////////////////////////////////////////////
 enum class ChoiceFailure
 {
     None,    //!< A server was chosen
-    AllBusy, //!< Servers work, but each is at its limit
-    NoServer //!< No server may be given anything
+    AllBusy, //!< Servers are available, but all are at their limits
+    NoServer //!< No server is available
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Result of a choice
+/// \brief Result of the choice of a server
 ////////////////////////////////////////////////////////////
 struct ChoiceResult
 {
-    ChoiceFailure failure{ChoiceFailure::NoServer}; //!< Whether there is a server
-    std::size_t   server{0};                        //!< Its index
+    ChoiceFailure failure{ChoiceFailure::NoServer}; //!< Reason why no server was chosen, or `None`
+    std::size_t   server{0};                        //!< Index of the chosen server
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief One service on one node: its servers, their load and limits, its queue and retry budget
+/// \brief State of one service on one node: servers with load and limits, queue and retry budget
 ////////////////////////////////////////////////////////////
 class Pool
 {
@@ -73,59 +73,59 @@
     /// \brief Create an empty pool
     ///
     /// \param workspace Name of the workspace
-    /// \param settings  Outlives the pool
+    /// \param settings  Settings; must outlive the pool
     ////////////////////////////////////////////////////////////
     Pool(std::string workspace, const DispatcherSettings& settings);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Put a service's declaration in force
+    /// \brief Apply a service's declaration
     ////////////////////////////////////////////////////////////
     void configure(const config::Service& service, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Put the deletion of the service in force
+    /// \brief Apply the deletion of the service
     ////////////////////////////////////////////////////////////
     void remove();
 
     ////////////////////////////////////////////////////////////
-    /// \brief Choose a server
+    /// \brief Choose a server for a request
     ////////////////////////////////////////////////////////////
     [[nodiscard]] ChoiceResult choose(const ChoiceQuery& query, core::Random& random);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note that a request was sent to a server
+    /// \brief Record that a request was sent to a server
     ////////////////////////////////////////////////////////////
     void sent(std::size_t server, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Learn from an attempt that ended
+    /// \brief Record the outcome of an attempt
     ///
-    /// \return Whether the server said for the first time that it is leaving
+    /// \return Whether the server has just begun to drain
     ////////////////////////////////////////////////////////////
     bool ended(std::size_t server, const AttemptInfo& attempt, const Outcome& outcome, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear a report about a server; unknown servers are ignored
+    /// \brief Record a report about a server; reports about unknown servers are ignored
     ////////////////////////////////////////////////////////////
     void reported(std::string_view server, routing::LoadReport report, bool draining, core::Timestamp at);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note that a server that was leaving has closed its connections
+    /// \brief Record that a draining server has closed its connections
     ////////////////////////////////////////////////////////////
     void gone(std::string_view server, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Estimated wait behind a number of waiting requests
+    /// \brief Estimate the wait behind a number of queued requests
     ////////////////////////////////////////////////////////////
     [[nodiscard]] core::Duration expectedWait(std::size_t ahead) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Usual time from sending a request to its answer
+    /// \brief Get the moving mean of the time from sending a request to the answer
     ////////////////////////////////////////////////////////////
     [[nodiscard]] core::Duration meanLatency() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Longest wait that a request may be let in for now
+    /// \brief Get the longest expected wait with which a request may be queued now
     ////////////////////////////////////////////////////////////
     [[nodiscard]] core::Duration longestWait(core::Timestamp now);
 
@@ -140,7 +140,7 @@
     [[nodiscard]] const DispatcherCounters&            counters() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Visit each server in force with its standing
+    /// \brief Visit each declared server with its current standing
     ////////////////////////////////////////////////////////////
     template <typename Visit>
     void visitServers(core::Timestamp now, Visit visit) const
@@ -158,12 +158,12 @@
         Server(std::shared_ptr<const Target> where, const config::BackendServer& declared,
                const DispatcherSettings& settings);
 
-        std::shared_ptr<const Target> target;         //!< Where it is
-        config::BackendServer         declaration;    //!< As declared
-        routing::ServerLoad           load;           //!< Load view
-        routing::ServerHealth         health;         //!< Judgement
-        limits::ConcurrencyLimit      limit;          //!< Adaptive limit
-        bool                          removed{false}; //!< No longer declared
+        std::shared_ptr<const Target> target;         //!< Address and probe settings
+        config::BackendServer         declaration;    //!< Declaration in the configuration
+        routing::ServerLoad           load;           //!< Load estimates
+        routing::ServerHealth         health;         //!< Health and ejection state
+        limits::ConcurrencyLimit      limit;          //!< Adaptive concurrency limit
+        bool                          removed{false}; //!< The server is no longer declared
     };
 
     void                  declareServer(const config::BackendServer& server, bool cold, core::Timestamp now);
@@ -179,22 +179,22 @@
     void                  recordFailure(Server& server, core::Timestamp now);
 
     std::string                            m_workspace;            //!< Name of the workspace
-    const DispatcherSettings&              m_settings;             //!< Constants
+    const DispatcherSettings&              m_settings;             //!< Settings
     config::Service                        m_service;              //!< Declaration in force
-    bool                                   m_removed{false};       //!< Service deleted
-    bool                                   m_anyRepeatable{false}; //!< Some route is repeatable
-    std::vector<std::unique_ptr<Server>>   m_servers;              //!< Index is stable while requests are there
-    std::unique_ptr<routing::ServerChoice> m_choice;               //!< Strategy
-    limits::WaitQueue                      m_queue;                //!< Requests that wait
-    limits::WaitPatience                   m_patience;             //!< Shrinks while the queue stands
-    retries::RetryBudget                   m_retryBudget;          //!< Retries allowed
-    DispatcherCounters                     m_counters;             //!< Since the start
-    double                                 m_meanOtherRequests{0}; //!< Others' requests a server, by recent reports
-    double                                 m_meanLatency;          //!< Recent latency, milliseconds
-    std::array<double, 2>                  m_meanWork;             //!< Usual work by class, milliseconds
-    unsigned                               m_ownInFlight{0};       //!< Own requests at all servers
-    double                                 m_limitSum{1};          //!< Sum of the limits at the last choice
-    std::vector<routing::Candidate>        m_candidates;           //!< Reused by each choice
+    bool                                   m_removed{false};       //!< The service is deleted
+    bool                                   m_anyRepeatable{false}; //!< At least one route is repeatable
+    std::vector<std::unique_ptr<Server>>   m_servers;              //!< Indexes stay valid during requests
+    std::unique_ptr<routing::ServerChoice> m_choice;               //!< Strategy that chooses a server
+    limits::WaitQueue                      m_queue;                //!< Queued requests
+    limits::WaitPatience m_patience;    //!< Adaptive longest wait; shortens while the queue does not empty
+    retries::RetryBudget m_retryBudget; //!< Budget of retries
+    DispatcherCounters   m_counters;    //!< Counters since the start of the process
+    double m_meanOtherRequests{0};      //!< Moving mean of the requests that other nodes have at a server, from reports
+    double m_meanLatency;               //!< Moving mean of the latency, milliseconds
+    std::array<double, 2> m_meanWork;   //!< Moving mean of the server time of a request by priority class, milliseconds
+    unsigned              m_ownInFlight{0};       //!< This node's requests in flight at all servers
+    double                m_limitSum{1};          //!< Sum of the limits of available servers at the last choice
+    std::vector<routing::Candidate> m_candidates; //!< Candidates of the current choice; kept to reuse the memory
 };
 
 } // namespace sailpath::node::priv
--- a/test/node/Controller.test.cpp
+++ b/test/node/Controller.test.cpp
@@ -23,7 +23,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief Whether any node went back to an older revision within one life; the rule of the history check
+/// \brief Checks whether a node applied a revision not newer than its last within one life
 ////////////////////////////////////////////////////////////
 bool revisionDecreased(const std::vector<support::AppliedChange>& history)
 {
@@ -47,7 +47,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief The most that was spent in any window of a length
+/// \brief Computes the largest probe cost in any window of a length, milliseconds
 ////////////////////////////////////////////////////////////
 double maxCostWithin(const std::vector<support::ProbeSent>& probes, core::Duration length)
 {
@@ -160,7 +160,7 @@
     group.stop(5);
     group.run(20s);
     group.start(5);
-    // The platform's list is out too: peers find the node by trying the dead now and then.
+    // The platform's list is unavailable too: peers find the node because they occasionally contact dead members.
     BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 60s));
 }
 
@@ -203,7 +203,7 @@
     group.run(20s);
     group.isolateDataCentre(1, true);
     group.run(60s);
-    // The cut side keeps its own relays, so the change reaches it through the store.
+    // The isolated side has relays of its own, so the change arrives there through the store.
     auto revision = group.put("admissa", declaration("admissa"));
     BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 15s));
     group.isolateDataCentre(1, false);
@@ -235,7 +235,7 @@
     BOOST_TEST(!group.probes.empty());
     for (unsigned round = 0; round < 12; ++round)
     {
-        // Whoever probes at present is killed, frozen beyond its lease, or cut off.
+        // The current prober is killed, frozen for longer than its lease, or isolated.
         const unsigned holder = group.probes.back().node;
         if (round % 3 == 0)
             group.stop(holder);
@@ -252,7 +252,7 @@
             group.isolateDataCentre(holder % 4, false);
         group.run(5s);
     }
-    // One probe may be saved up and one may be under way when the right changes hands.
+    // When another VM takes over the lease, one probe may be saved up and one may be in flight.
     for (const core::Duration window : {core::Duration{1s}, core::Duration{10s}, core::Duration{60s}})
         BOOST_TEST(maxCostWithin(group.probes, window) <= budget * core::toSeconds(window) + 12.0);
     BOOST_TEST(group.probes.size() > 300U);
--- a/test/node/Dispatcher.test.cpp
+++ b/test/node/Dispatcher.test.cpp
@@ -157,7 +157,7 @@
     Step              step = admit();
     for (; step.verdict == Verdict::Forward; step = admit())
         sent.push_back(step);
-    BOOST_TEST(sent.size() == 12U); // Four servers, limits of three
+    BOOST_TEST(sent.size() == 12U); // Four servers, each with a limit of three
     BOOST_REQUIRE((step.verdict == Verdict::Hold));
     BOOST_TEST(released().empty());
     now += 5ms;
@@ -266,7 +266,7 @@
     };
     serveFor(2900ms);
     BOOST_TEST(!used.contains(shed.target->server));
-    // With the others busy it is used again, once its share has grown.
+    // The server is used again while the others are busy, once its ramp has raised its share.
     now += 3s;
     for (int i = 0; i < 9; ++i)
     {
--- a/test/support/ControlGroup.cpp
+++ b/test/support/ControlGroup.cpp
@@ -136,7 +136,7 @@
     started.frozen = false;
     started.appliedRevisions.clear();
     ++started.life;
-    // Nodes do not tick in step.
+    // A random phase keeps the nodes from ticking at the same time.
     const core::Duration phase{
         static_cast<std::int64_t>(m_random.below(static_cast<std::size_t>(tickInterval.count())))};
     m_events.after(phase, [this, node, life = started.life] { tick(node, life); });
@@ -334,7 +334,7 @@
         return;
     }
     m_nodes[node].watch = m_nextWatch++;
-    // What changed between the read and the watch comes first.
+    // The watch first reports changes made between the read and the start of the watch.
     for (const auto& item : m_documents)
     {
         if (item.second.revision < action.revision)
