--- a/examples/OneDecision.cpp
+++ b/examples/OneDecision.cpp
@@ -26,7 +26,7 @@
         std::cout << "attempt " << step.attempt << " at " << step.target->server << "\n";
         node::Outcome outcome;
         outcome.result = step.attempt == 1 ? retries::AttemptResult::Failed : retries::AttemptResult::Answered;
-        step = dispatcher.finish(step.ticket, outcome, now += 5ms);
+        step = dispatcher.finishAttempt(step.ticket, outcome, now += 5ms);
     }
     std::cout << (step.verdict == node::Verdict::Answer ? "answered\n" : "refused\n");
     return step.verdict == node::Verdict::Answer ? 0 : 1;
--- a/include/sailpath/node/Controller.hpp
+++ b/include/sailpath/node/Controller.hpp
@@ -117,7 +117,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Process the dispatcher's report that a server is draining, and pass the report to peers at once
     ////////////////////////////////////////////////////////////
-    void serverLeaving(const ServerReport& report, core::Timestamp now, ControlActions& actions);
+    void serverDraining(const ServerReport& report, core::Timestamp now, ControlActions& actions);
 
     ////////////////////////////////////////////////////////////
     /// \brief Announce to peers that this VM stops, and release its lease
@@ -127,7 +127,7 @@
     [[nodiscard]] std::uint64_t revision() const; //!< Revision up to which the configuration is complete
     [[nodiscard]] const membership::MemberTable& members() const; //!< Members known to this VM
     [[nodiscard]] const Prober&                  prober() const;  //!< Prober of this VM
-    [[nodiscard]] bool                           relay() const; //!< Whether this VM is a relay, which watches the store
+    [[nodiscard]] bool isRelay() const; //!< Whether this VM is a relay, which watches the store
 
 private:
     enum class StoreState
--- a/include/sailpath/node/Dispatcher.hpp
+++ b/include/sailpath/node/Dispatcher.hpp
@@ -72,7 +72,7 @@
     ///
     /// \return `Answer`, `Forward` or `Refuse`
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] Step finish(Ticket ticket, const Outcome& outcome, core::Timestamp now);
+    [[nodiscard]] Step finishAttempt(Ticket ticket, const Outcome& outcome, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Remove a held request, for example when the caller closed the connection
@@ -103,8 +103,8 @@
     ////////////////////////////////////////////////////////////
     /// \brief Process a report about a server from a probe or a peer
     ////////////////////////////////////////////////////////////
-    void reported(std::string_view workspace, std::string_view service, std::string_view server,
-                  routing::LoadReport report, bool draining, core::Timestamp at);
+    void recordServerReport(std::string_view workspace, std::string_view service, std::string_view server,
+                            routing::LoadReport report, bool draining, core::Timestamp at);
 
     ////////////////////////////////////////////////////////////
     /// \brief Get the number of held requests
@@ -192,6 +192,6 @@
 ///
 /// sailpath::node::Step step = dispatcher.admit({"portal.example", "GET", "/status", {}}, now);
 /// while (step.verdict == sailpath::node::Verdict::Forward)
-///     step = dispatcher.finish(step.ticket, send(*step.target), later);
+///     step = dispatcher.finishAttempt(step.ticket, send(*step.target), later);
 /// \endcode
 ////////////////////////////////////////////////////////////
--- a/include/sailpath/node/DispatcherSettings.hpp
+++ b/include/sailpath/node/DispatcherSettings.hpp
@@ -19,7 +19,8 @@
     std::string    dataCentre;                 //!< Data centre of this VM
     std::size_t    maxRequests{512};           //!< Maximum number of unfinished requests, queued requests included
     std::string    choice{"estimated-finish"}; //!< Name of the strategy that chooses a server
-    core::Duration otherDataCentre{std::chrono::milliseconds{3}}; //!< Round trip to data centres not in `roundTrips`
+    core::Duration otherDataCentreRoundTrip{
+        std::chrono::milliseconds{3}};          //!< Round trip to data centres not in `roundTrips`
     core::StringMap<core::Duration> roundTrips; //!< Round trips by data centre; override `otherDataCentreRoundTrip`
     core::Duration          initialWork{std::chrono::milliseconds{5}}; //!< Initial estimate of a request's server time
     routing::LoadSettings   load;                                      //!< Settings of the load estimates
--- a/src/sailpath/control/ControlThread.cpp
+++ b/src/sailpath/control/ControlThread.cpp
@@ -80,7 +80,7 @@
         [this, &status]
         {
             status.revision = m_controller.revision();
-            status.relay = m_controller.relay();
+            status.relay = m_controller.isRelay();
             status.members = m_controller.members().all();
             status.probes = m_probes;
             status.probeCost = m_probeCost;
@@ -152,7 +152,7 @@
     {
         m_ports.log.write(Level::Info, "server-leaving",
                           {{"workspace", report.workspace}, {"service", report.service}, {"server", report.server}});
-        m_controller.serverLeaving(report, steadyNow(), m_actions);
+        m_controller.serverDraining(report, steadyNow(), m_actions);
     }
     m_controller.tick(steadyNow(), m_actions);
     m_alive = std::max(1, static_cast<int>(m_controller.members().aliveNames().size()));
@@ -343,7 +343,8 @@
         [&report](node::Dispatcher& dispatcher)
         {
             const auto at = steadyNow() - std::chrono::milliseconds{report.ageMs};
-            dispatcher.reported(report.workspace, report.service, report.server, report.load, report.draining, at);
+            dispatcher.recordServerReport(report.workspace, report.service, report.server, report.load, report.draining,
+                                          at);
         });
 }
 
--- a/src/sailpath/entry/DispatcherDoor.cpp
+++ b/src/sailpath/entry/DispatcherDoor.cpp
@@ -33,7 +33,7 @@
 node::Step DispatcherDoor::finish(node::Ticket ticket, const node::Outcome& outcome)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    node::Step                        step = m_dispatcher.finish(ticket, outcome, steadyNow());
+    node::Step                        step = m_dispatcher.finishAttempt(ticket, outcome, steadyNow());
     deliver();
     return step;
 }
--- a/src/sailpath/node/Controller.cpp
+++ b/src/sailpath/node/Controller.cpp
@@ -182,7 +182,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Controller::serverLeaving(const ServerReport& report, core::Timestamp now, ControlActions& actions)
+void Controller::serverDraining(const ServerReport& report, core::Timestamp now, ControlActions& actions)
 {
     applyReport(report, now, actions);
 }
@@ -215,7 +215,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Controller::relay() const
+bool Controller::isRelay() const
 {
     return m_relay;
 }
--- a/src/sailpath/node/Dispatcher.cpp
+++ b/src/sailpath/node/Dispatcher.cpp
@@ -141,12 +141,12 @@
 }
 
 ////////////////////////////////////////////////////////////
-Step Dispatcher::finish(Ticket ticket, const Outcome& outcome, core::Timestamp now)
+Step Dispatcher::finishAttempt(Ticket ticket, const Outcome& outcome, core::Timestamp now)
 {
     const Pending& pending = m_pending[ticket];
     assert(pending.pool && !pending.held);
     priv::Pool& pool = *pending.pool;
-    if (pool.ended(pending.server, {pending.sentAt, pending.priority}, outcome, now))
+    if (pool.endAttempt(pending.server, {pending.sentAt, pending.priority}, outcome, now))
     {
         const Target& target = *pool.target(pending.server);
         const auto    load = outcome.report.value_or(routing::LoadReport{});
@@ -199,15 +199,15 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Dispatcher::reported(std::string_view workspace, std::string_view service, std::string_view server,
-                          routing::LoadReport report, bool draining, core::Timestamp at)
+void Dispatcher::recordServerReport(std::string_view workspace, std::string_view service, std::string_view server,
+                                    routing::LoadReport report, bool draining, core::Timestamp at)
 {
     const auto found = m_workspaces.find(workspace);
     if (found == m_workspaces.end())
         return;
     const auto pool = found->second.pools.find(service);
     if (pool != found->second.pools.end())
-        pool->second->reported(server, report, draining, at);
+        pool->second->recordServerReport(server, report, draining, at);
 }
 
 ////////////////////////////////////////////////////////////
@@ -218,7 +218,7 @@
         return;
     const auto pool = found->second.pools.find(target.service);
     if (pool != found->second.pools.end())
-        pool->second->gone(target.server, now);
+        pool->second->serverGone(target.server, now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -312,7 +312,7 @@
     pending.server = server;
     pending.sentAt = now;
     ++pending.attempts;
-    pending.pool->sent(server, now);
+    pending.pool->startAttempt(server, now);
 
     Step step;
     step.verdict = Verdict::Forward;
--- a/src/sailpath/node/Pool.cpp
+++ b/src/sailpath/node/Pool.cpp
@@ -36,7 +36,7 @@
     const auto known = settings.roundTrips.find(dataCentre);
     if (known != settings.roundTrips.end())
         return known->second;
-    return dataCentre == settings.dataCentre ? core::Duration{0} : settings.otherDataCentre;
+    return dataCentre == settings.dataCentre ? core::Duration{0} : settings.otherDataCentreRoundTrip;
 }
 
 } // namespace
@@ -158,7 +158,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Pool::sent(std::size_t server, core::Timestamp now)
+void Pool::startAttempt(std::size_t server, core::Timestamp now)
 {
     Server& chosen = *m_servers[server];
     if (chosen.health.standing(now) == routing::Standing::Trial)
@@ -169,13 +169,13 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Pool::ended(std::size_t server, const AttemptInfo& attempt, const Outcome& outcome, core::Timestamp now)
+bool Pool::endAttempt(std::size_t server, const AttemptInfo& attempt, const Outcome& outcome, core::Timestamp now)
 {
     Server& attempted = *m_servers[server];
     attempted.load.ended(attempt.sentAt);
     --m_ownInFlight;
     if (outcome.report)
-        recordReport(attempted, *outcome.report, now);
+        recordLoad(attempted, *outcome.report, now);
     const bool carriesStatus = outcome.report || outcome.draining;
     const bool startedDraining = carriesStatus && attempted.health.draining(outcome.draining, now);
 
@@ -204,17 +204,17 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Pool::reported(std::string_view server, routing::LoadReport report, bool draining, core::Timestamp at)
+void Pool::recordServerReport(std::string_view server, routing::LoadReport report, bool draining, core::Timestamp at)
 {
     if (Server* known = findServer(server))
     {
-        recordReport(*known, report, at);
+        recordLoad(*known, report, at);
         (void)known->health.draining(draining, at);
     }
 }
 
 ////////////////////////////////////////////////////////////
-void Pool::gone(std::string_view server, core::Timestamp now)
+void Pool::serverGone(std::string_view server, core::Timestamp now)
 {
     if (Server* known = findServer(server))
         known->health.gone(now);
@@ -354,7 +354,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Pool::recordReport(Server& server, routing::LoadReport report, core::Timestamp at)
+void Pool::recordLoad(Server& server, routing::LoadReport report, core::Timestamp at)
 {
     server.load.reported(report, at);
     if (const auto others = server.load.reportedOthers())
--- a/src/sailpath/node/Pool.hpp
+++ b/src/sailpath/node/Pool.hpp
@@ -95,24 +95,24 @@
     ////////////////////////////////////////////////////////////
     /// \brief Record that a request was sent to a server
     ////////////////////////////////////////////////////////////
-    void sent(std::size_t server, core::Timestamp now);
+    void startAttempt(std::size_t server, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Record the outcome of an attempt
     ///
     /// \return Whether the server has just begun to drain
     ////////////////////////////////////////////////////////////
-    bool ended(std::size_t server, const AttemptInfo& attempt, const Outcome& outcome, core::Timestamp now);
+    bool endAttempt(std::size_t server, const AttemptInfo& attempt, const Outcome& outcome, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Record a report about a server; reports about unknown servers are ignored
     ////////////////////////////////////////////////////////////
-    void reported(std::string_view server, routing::LoadReport report, bool draining, core::Timestamp at);
+    void recordServerReport(std::string_view server, routing::LoadReport report, bool draining, core::Timestamp at);
 
     ////////////////////////////////////////////////////////////
     /// \brief Record that a draining server has closed its connections
     ////////////////////////////////////////////////////////////
-    void gone(std::string_view server, core::Timestamp now);
+    void serverGone(std::string_view server, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Estimate the wait behind a number of queued requests
@@ -174,7 +174,7 @@
     [[nodiscard]] double  limitOf(const Server& server, core::Timestamp now) const;
     [[nodiscard]] double& meanWork(config::Priority priority);
     [[nodiscard]] Server* findServer(std::string_view name);
-    void                  recordReport(Server& server, routing::LoadReport report, core::Timestamp at);
+    void                  recordLoad(Server& server, routing::LoadReport report, core::Timestamp at);
     void                  recordAnswer(Server& server, const AttemptInfo& attempt, core::Timestamp now);
     void                  recordFailure(Server& server, core::Timestamp now);
 
--- a/src/sailpath/replay/Simulation.cpp
+++ b/src/sailpath/replay/Simulation.cpp
@@ -92,7 +92,7 @@
     node.dataCentre = m_trace.setup.dataCentres[index % m_trace.setup.dataCentres.size()];
     node::DispatcherSettings settings = m_variant.decisions;
     settings.dataCentre = node.dataCentre;
-    settings.otherDataCentre = m_trace.setup.oneWay * 2;
+    settings.otherDataCentreRoundTrip = m_trace.setup.oneWay * 2;
     settings.seed = m_trace.setup.seed * 1000 + index + 100'000 * node.births++;
     node.dispatcher = std::make_unique<node::Dispatcher>(settings);
     node.byTicket.assign(node.byTicket.size(), nullptr);
@@ -272,7 +272,7 @@
     if (spoke)
         ++node.idle[server];
 
-    const node::Step step = node.dispatcher->finish(ticket, outcome, m_events.now());
+    const node::Step step = node.dispatcher->finishAttempt(ticket, outcome, m_events.now());
     if (step.verdict == node::Verdict::Answer)
         finish(call, answer.kind == FakeAnswer::Kind::Good, false, answer.kind == FakeAnswer::Kind::Failed);
     else
@@ -294,8 +294,8 @@
                        [this, report, at = m_events.now()]
                        {
                            for (Node& node : m_nodes)
-                               node.dispatcher->reported(report.workspace, report.service, report.server, report.load,
-                                                         report.draining, at);
+                               node.dispatcher->recordServerReport(report.workspace, report.service, report.server,
+                                                                   report.load, report.draining, at);
                        });
     }
 }
@@ -462,8 +462,8 @@
             return;
         const auto tell = [this, target, answer, at = m_events.now()](unsigned entry)
         {
-            m_nodes[entry].dispatcher->reported(target.workspace, target.service, target.server,
-                                                routing::LoadReport{answer.reported}, answer.draining, at);
+            m_nodes[entry].dispatcher->recordServerReport(target.workspace, target.service, target.server,
+                                                          routing::LoadReport{answer.reported}, answer.draining, at);
         };
         if (!tellAll)
         {
--- a/test/bench/Capacity.cpp
+++ b/test/bench/Capacity.cpp
@@ -176,7 +176,7 @@
         now += 100us;
         const node::Step step = dispatcher.admit({"s.w", "GET", "/x", {}}, now);
         if (step.verdict == node::Verdict::Forward)
-            (void)dispatcher.finish(step.ticket, outcome, now + 5ms);
+            (void)dispatcher.finishAttempt(step.ticket, outcome, now + 5ms);
     }
     const std::chrono::duration<double, std::nano> spent = std::chrono::steady_clock::now() - start;
     return spent.count() / decisions;
--- a/test/node/Controller.test.cpp
+++ b/test/node/Controller.test.cpp
@@ -127,9 +127,9 @@
         ControlGroup group({.nodes = 18, .loss = loss});
         group.run(20s);
         const core::Timestamp reportedAt = group.now();
-        group.serverLeaving(3);
-        BOOST_TEST(group.runUntil([&] { return group.drainingHeardAt.size() == 18; }, 3s));
-        BOOST_TEST_MESSAGE("loss " << loss << ": all heard after " << core::toSeconds(group.now() - reportedAt)
+        group.serverDraining(3);
+        BOOST_TEST(group.runUntil([&] { return group.drainingReportedAt.size() == 18; }, 3s));
+        BOOST_TEST_MESSAGE("loss " << loss << ": all nodes informed after " << core::toSeconds(group.now() - reportedAt)
                                    << " s");
     }
 }
--- a/test/node/Dispatcher.test.cpp
+++ b/test/node/Dispatcher.test.cpp
@@ -48,7 +48,7 @@
     {
         Outcome outcome;
         outcome.result = result;
-        return dispatcher.finish(step.ticket, outcome, now);
+        return dispatcher.finishAttempt(step.ticket, outcome, now);
     }
 
     std::vector<Step> released()
@@ -147,7 +147,7 @@
     Outcome outcome;
     outcome.result = AttemptResult::Failed;
     outcome.retryForbidden = true;
-    BOOST_TEST((dispatcher.finish(admit().ticket, outcome, now).verdict == Verdict::Answer));
+    BOOST_TEST((dispatcher.finishAttempt(admit().ticket, outcome, now).verdict == Verdict::Answer));
 }
 
 ////////////////////////////////////////////////////////////
@@ -228,7 +228,7 @@
     outcome.result = AttemptResult::Answered;
     outcome.draining = true;
     const Step step = admit();
-    (void)dispatcher.finish(step.ticket, outcome, now);
+    (void)dispatcher.finishAttempt(step.ticket, outcome, now);
     std::vector<node::ServerReport> reports;
     dispatcher.takeDrainingReports(reports);
     BOOST_REQUIRE(reports.size() == 1U);
@@ -250,7 +250,7 @@
     Outcome    outcome;
     outcome.result = AttemptResult::Shed;
     outcome.retryAfter = 3s;
-    const Step again = dispatcher.finish(shed.ticket, outcome, now);
+    const Step again = dispatcher.finishAttempt(shed.ticket, outcome, now);
     BOOST_REQUIRE((again.verdict == Verdict::Forward));
     BOOST_TEST((finish(again, AttemptResult::Answered).verdict == Verdict::Answer));
     std::set<std::string> used;
@@ -286,7 +286,7 @@
     {
         const Step step = admit("POST", "/fees");
         if (step.verdict == Verdict::Forward)
-            (void)dispatcher.finish(step.ticket, outcome, now);
+            (void)dispatcher.finishAttempt(step.ticket, outcome, now);
     }
     const Step step = admit();
     BOOST_REQUIRE((step.verdict == Verdict::Refuse));
--- a/test/support/ControlGroup.cpp
+++ b/test/support/ControlGroup.cpp
@@ -82,11 +82,11 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ControlGroup::serverLeaving(unsigned node)
+void ControlGroup::serverDraining(unsigned node)
 {
     deliver(node, core::Duration{0},
             [this](node::Controller& controller, node::ControlActions& actions) {
-                controller.serverLeaving({"admissa", "portal", "p1", {}, true, 0}, m_events.now(), actions);
+                controller.serverDraining({"admissa", "portal", "p1", {}, true, 0}, m_events.now(), actions);
             });
 }
 
@@ -451,7 +451,7 @@
 void ControlGroup::handle(unsigned node, const node::ApplyServerReport& action)
 {
     if (action.report.draining)
-        drainingHeardAt.try_emplace(node, m_events.now());
+        drainingReportedAt.try_emplace(node, m_events.now());
 }
 
 ////////////////////////////////////////////////////////////
--- a/test/support/ControlGroup.hpp
+++ b/test/support/ControlGroup.hpp
@@ -68,7 +68,7 @@
 
     std::uint64_t put(const std::string& workspace, const std::string& text); //!< Write a document to the store
     std::uint64_t remove(const std::string& workspace); //!< Write the deletion of a workspace to the store
-    void          serverLeaving(unsigned node);         //!< Report to a node that a server is draining
+    void          serverDraining(unsigned node);        //!< Report to a node that a server is draining
     void          restoreStore(std::uint64_t revision); //!< Restore the store to an older revision, as from a backup
 
     void setOutage(bool outage);                 //!< Make the store unavailable or available
@@ -81,20 +81,21 @@
                            bool     isolated); //!< Isolate or reconnect a data centre
 
     [[nodiscard]] bool            appliedEverywhere(const std::string& workspace,
-                                                    std::uint64_t revision) const; //!< Check that running nodes are up to date
+                                                    std::uint64_t      revision) const; //!< Compare all nodes' revisions
     [[nodiscard]] bool            allAlive(unsigned node) const; //!< Check that a node sees all running nodes as alive
     [[nodiscard]] bool            seesStatus(unsigned node, unsigned other,
-                                             membership::MemberStatus status) const; //!< Check the status that a node sees
+                                             membership::MemberStatus status) const; //!< Check a node's member list
     [[nodiscard]] unsigned        relays() const; //!< Number of nodes that watch the store
     [[nodiscard]] core::Timestamp now() const;    //!< Current virtual time
 
-    std::vector<AppliedChange>          history;         //!< All applied changes, in order
-    std::vector<ProbeSent>              probes;          //!< All probes sent, in order
-    std::map<unsigned, core::Timestamp> drainingHeardAt; //!< Time at which each node learned that a server is draining
-    std::uint64_t                       storeCalls{0};   //!< Calls to the store; a watch counts as one call
-    std::uint64_t                       storeReads{0};   //!< Calls to the store that read the configuration
-    std::uint64_t                       exchanges{0};    //!< Digest exchanges started
-    std::uint64_t                       peerBytes{0};    //!< Size of all digests in both directions, bytes
+    std::vector<AppliedChange> history; //!< All applied changes, in order
+    std::vector<ProbeSent>     probes;  //!< All probes sent, in order
+    std::map<unsigned, core::Timestamp>
+                  drainingReportedAt; //!< Time at which each node learned that a server is draining
+    std::uint64_t storeCalls{0};      //!< Calls to the store; a watch counts as one call
+    std::uint64_t storeReads{0};      //!< Calls to the store that read the configuration
+    std::uint64_t exchanges{0};       //!< Digest exchanges started
+    std::uint64_t peerBytes{0};       //!< Size of all digests in both directions, bytes
 
     ////////////////////////////////////////////////////////////
     /// \brief Computes the encoded size of a digest in bytes; `peerBytes` stays 0 without this function
