--- a/test/support/ControlGroup.hpp
+++ b/test/support/ControlGroup.hpp
@@ -81,7 +81,7 @@
                            bool     isolated); //!< Isolate or reconnect a data centre
 
     [[nodiscard]] bool            appliedEverywhere(const std::string& workspace,
-                                                    std::uint64_t      revision) const; //!< Compare all nodes' revisions
+                                                    std::uint64_t      revision) const; //!< Compare revisions
     [[nodiscard]] bool            allAlive(unsigned node) const; //!< Check that a node sees all running nodes as alive
     [[nodiscard]] bool            seesStatus(unsigned node, unsigned other,
                                              membership::MemberStatus status) const; //!< Check a node's member list
