--- a/src/sailpath/node/Dispatcher.cpp
+++ b/src/sailpath/node/Dispatcher.cpp
@@ -12,8 +12,10 @@
 {
 namespace
 {
-constexpr core::Duration defaultRetryAfter = std::chrono::milliseconds{250}; // Estimated length of a shortage
-constexpr core::Duration minRetryAfter = std::chrono::milliseconds{50};      // Keeps callers from retrying at once
+// Estimated length of a shortage of servers or capacity.
+constexpr core::Duration defaultRetryAfter = std::chrono::milliseconds{250};
+// Keeps callers from retrying at once.
+constexpr core::Duration minRetryAfter = std::chrono::milliseconds{50};
 
 ////////////////////////////////////////////////////////////
 Refusal refusal(RefusalReason reason, retries::Ran ran, core::Duration retryAfter)
