--- a/src/sailpath/control/ControlThread.cpp
+++ b/src/sailpath/control/ControlThread.cpp
@@ -80,7 +80,7 @@
         [this, &status]
         {
             status.revision = m_controller.revision();
-            status.relay = m_controller.relay();
+            status.relay = m_controller.isRelay();
             status.members = m_controller.members().all();
             status.probes = m_probes;
             status.probeCost = m_probeCost;
@@ -147,12 +147,12 @@
 ////////////////////////////////////////////////////////////
 void ControlThread::tick()
 {
-    m_ports.door.with([this](node::Dispatcher& dispatcher) { dispatcher.takeNews(m_news); });
+    m_ports.door.with([this](node::Dispatcher& dispatcher) { dispatcher.takeDrainingReports(m_news); });
     for (const node::ServerReport& report : m_news)
     {
         m_ports.log.write(Level::Info, "server-leaving",
                           {{"workspace", report.workspace}, {"service", report.service}, {"server", report.server}});
-        m_controller.serverLeaving(report, steadyNow(), m_actions);
+        m_controller.serverDraining(report, steadyNow(), m_actions);
     }
     m_controller.tick(steadyNow(), m_actions);
     m_alive = std::max(1, static_cast<int>(m_controller.members().aliveNames().size()));
@@ -336,14 +336,15 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ControlThread::perform(const node::HearReport& action)
+void ControlThread::perform(const node::ApplyServerReport& action)
 {
     const node::ServerReport& report = action.report;
     m_ports.door.with(
         [&report](node::Dispatcher& dispatcher)
         {
             const auto at = steadyNow() - std::chrono::milliseconds{report.ageMs};
-            dispatcher.reported(report.workspace, report.service, report.server, report.load, report.draining, at);
+            dispatcher.recordServerReport(report.workspace, report.service, report.server, report.load, report.draining,
+                                          at);
         });
 }
 
--- a/test/node/Controller.test.cpp
+++ b/test/node/Controller.test.cpp
@@ -23,12 +23,12 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief Whether any node went back to an older revision within one life; the rule of the history check
+/// \brief Checks whether a node applied a revision not newer than its last within one life
 ////////////////////////////////////////////////////////////
-bool wentBack(const std::vector<support::InForce>& history)
+bool revisionDecreased(const std::vector<support::AppliedChange>& history)
 {
     std::map<std::tuple<unsigned, unsigned, std::string>, std::uint64_t> newest;
-    for (const support::InForce& change : history)
+    for (const support::AppliedChange& change : history)
     {
         auto& revision = newest[{change.node, change.life, change.workspace}];
         if (change.revision <= revision)
@@ -47,14 +47,14 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief The most that was spent in any window of a length
+/// \brief Computes the largest probe cost in any window of a length, milliseconds
 ////////////////////////////////////////////////////////////
-double mostWithin(const std::vector<support::ProbeSent>& probes, core::Duration length)
+double maxCostWithin(const std::vector<support::ProbeSent>& probes, core::Duration length)
 {
-    double most = 0;
+    double maxCost = 0;
     for (const support::ProbeSent& probe : probes)
-        most = std::max(most, costWithin(probes, probe.at, length));
-    return most;
+        maxCost = std::max(maxCost, costWithin(probes, probe.at, length));
+    return maxCost;
 }
 
 } // namespace
@@ -62,10 +62,10 @@
 BOOST_AUTO_TEST_SUITE(Controller)
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(theHistoryCheckSeesABrokenHistory)
+BOOST_AUTO_TEST_CASE(theHistoryCheckDetectsADecreasingRevision)
 {
-    BOOST_TEST(!wentBack({{{}, 1, "a", 2, 1}, {{}, 1, "a", 3, 1}, {{}, 1, "a", 2, 2}, {{}, 2, "a", 2, 1}}));
-    BOOST_TEST(wentBack({{{}, 1, "a", 3, 1}, {{}, 1, "a", 2, 1}}));
+    BOOST_TEST(!revisionDecreased({{{}, 1, "a", 2, 1}, {{}, 1, "a", 3, 1}, {{}, 1, "a", 2, 2}, {{}, 2, "a", 2, 1}}));
+    BOOST_TEST(revisionDecreased({{{}, 1, "a", 3, 1}, {{}, 1, "a", 2, 1}}));
 }
 
 ////////////////////////////////////////////////////////////
@@ -76,16 +76,16 @@
     for (int i = 0; i < 10; ++i)
     {
         const auto revision = group.put("admissa", declaration("admissa"));
-        BOOST_TEST(group.runUntil([&] { return group.everywhere("admissa", revision); }, 2s));
+        BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 2s));
     }
     const auto revision = group.remove("admissa");
-    BOOST_TEST(group.runUntil([&] { return group.everywhere("admissa", revision); }, 2s));
-    BOOST_TEST(!wentBack(group.history));
+    BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 2s));
+    BOOST_TEST(!revisionDecreased(group.history));
     BOOST_TEST(group.relays() == 3U);
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(allKnowOneAnotherAndAKilledNodeIsNoticed)
+BOOST_AUTO_TEST_CASE(allNodesSeeEachOtherAndDetectAKilledNode)
 {
     ControlGroup group({.nodes = 18});
     group.run(30s);
@@ -94,7 +94,7 @@
     group.stop(7);
     group.run(30s);
     for (unsigned i = 0; i < 18; ++i)
-        BOOST_TEST((i == 7 || group.believes(i, 7, MemberStatus::Dead)));
+        BOOST_TEST((i == 7 || group.seesStatus(i, 7, MemberStatus::Dead)));
     group.start(7);
     group.run(20s);
     for (unsigned i = 0; i < 18; ++i)
@@ -102,7 +102,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(lostCallsDoNotHideAFailureInALargeFleet)
+BOOST_AUTO_TEST_CASE(aFailedNodeIsDetectedInALargeFleetDespiteLostCalls)
 {
     ControlGroup group({.nodes = 200, .dataCentres = 7, .loss = 0.1});
     group.run(60s);
@@ -111,7 +111,7 @@
     {
         for (unsigned i = 0; i < 200; ++i)
         {
-            if (i != 100 && !group.believes(i, 100, MemberStatus::Dead))
+            if (i != 100 && !group.seesStatus(i, 100, MemberStatus::Dead))
                 return false;
         }
         return true;
@@ -120,16 +120,17 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(allHearWithinSecondsThatAServerLeaves)
+BOOST_AUTO_TEST_CASE(allNodesLearnWithinSecondsThatAServerDrains)
 {
     for (const double loss : {0.0, 0.1})
     {
         ControlGroup group({.nodes = 18, .loss = loss});
         group.run(20s);
-        const core::Timestamp told = group.now();
-        group.serverLeaving(3);
-        BOOST_TEST(group.runUntil([&] { return group.heardLeaving.size() == 18; }, 3s));
-        BOOST_TEST_MESSAGE("loss " << loss << ": all heard after " << core::toSeconds(group.now() - told) << " s");
+        const core::Timestamp reportedAt = group.now();
+        group.serverDraining(3);
+        BOOST_TEST(group.runUntil([&] { return group.drainingReportedAt.size() == 18; }, 3s));
+        BOOST_TEST_MESSAGE("loss " << loss << ": all nodes informed after " << core::toSeconds(group.now() - reportedAt)
+                                   << " s");
     }
 }
 
@@ -144,9 +145,9 @@
         group.stop(static_cast<unsigned>(17 - round));
         group.run(1s);
         const auto revision = group.put("admissa", declaration("admissa"));
-        BOOST_TEST(group.runUntil([&] { return group.everywhere("admissa", revision); }, 15s));
+        BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 15s));
     }
-    BOOST_TEST(!wentBack(group.history));
+    BOOST_TEST(!revisionDecreased(group.history));
 }
 
 ////////////////////////////////////////////////////////////
@@ -159,8 +160,8 @@
     group.stop(5);
     group.run(20s);
     group.start(5);
-    // The platform's list is out too: peers find the node by trying the dead now and then.
-    BOOST_TEST(group.runUntil([&] { return group.everywhere("admissa", revision); }, 60s));
+    // The platform's list is unavailable too: peers find the node because they occasionally contact dead members.
+    BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 60s));
 }
 
 ////////////////////////////////////////////////////////////
@@ -176,12 +177,12 @@
     group.setOutage(false);
     const auto resumed = group.storeCalls;
     const auto revision = group.put("admissa", declaration("admissa"));
-    BOOST_TEST(group.runUntil([&] { return group.everywhere("admissa", revision); }, 15s));
+    BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 15s));
     BOOST_TEST(group.storeCalls - resumed < 100U);
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aStoreRestoredFromABackupTakesNothingBack)
+BOOST_AUTO_TEST_CASE(aStoreRestoredFromABackupRevertsNothing)
 {
     ControlGroup group({.nodes = 16});
     for (int i = 0; i < 5; ++i)
@@ -192,28 +193,28 @@
     group.stop(3);
     group.start(3);
     group.run(30s);
-    BOOST_TEST(!wentBack(group.history));
+    BOOST_TEST(!revisionDecreased(group.history));
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aCutDataCentreCatchesUpWhenItIsBack)
+BOOST_AUTO_TEST_CASE(anIsolatedDataCentreCatchesUpOnceReconnected)
 {
     ControlGroup group({.nodes = 16});
     group.run(20s);
-    group.cutDataCentre(1, true);
+    group.isolateDataCentre(1, true);
     group.run(60s);
-    // The cut side keeps its own relays, so the change reaches it through the store.
+    // The isolated side has relays of its own, so the change arrives there through the store.
     auto revision = group.put("admissa", declaration("admissa"));
-    BOOST_TEST(group.runUntil([&] { return group.everywhere("admissa", revision); }, 15s));
-    group.cutDataCentre(1, false);
+    BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 15s));
+    group.isolateDataCentre(1, false);
     BOOST_TEST(group.runUntil([&] { return group.allAlive(0) && group.allAlive(1); }, 120s));
     revision = group.put("admissa", declaration("admissa"));
-    BOOST_TEST(group.runUntil([&] { return group.everywhere("admissa", revision); }, 2s));
-    BOOST_TEST(!wentBack(group.history));
+    BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 2s));
+    BOOST_TEST(!revisionDecreased(group.history));
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aStaleListOfVmsDoesNoHarm)
+BOOST_AUTO_TEST_CASE(aStaleListOfVmsDoesNotDelayChanges)
 {
     ControlGroup group({.nodes = 16});
     group.stop(3);
@@ -221,11 +222,11 @@
     group.setVmList({3, 4, 0, 1});
     group.run(60s);
     const auto revision = group.put("admissa", declaration("admissa"));
-    BOOST_TEST(group.runUntil([&] { return group.everywhere("admissa", revision); }, 5s));
+    BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", revision); }, 5s));
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(theMeasuringBudgetHoldsWhileProbersComeAndGo)
+BOOST_AUTO_TEST_CASE(theMeasuringBudgetHoldsWhileProbersAreReplaced)
 {
     constexpr double budget = 30;
     ControlGroup     group({.nodes = 16});
@@ -234,26 +235,26 @@
     BOOST_TEST(!group.probes.empty());
     for (unsigned round = 0; round < 12; ++round)
     {
-        // Whoever probes at present is killed, frozen beyond its lease, or cut off.
+        // The current prober is killed, frozen for longer than its lease, or isolated.
         const unsigned holder = group.probes.back().node;
         if (round % 3 == 0)
             group.stop(holder);
         else if (round % 3 == 1)
             group.freeze(holder);
         else
-            group.cutDataCentre(holder % 4, true);
+            group.isolateDataCentre(holder % 4, true);
         group.run(25s);
         if (round % 3 == 0)
             group.start(holder);
         else if (round % 3 == 1)
             group.thaw(holder);
         else
-            group.cutDataCentre(holder % 4, false);
+            group.isolateDataCentre(holder % 4, false);
         group.run(5s);
     }
-    // One probe may be saved up and one may be under way when the right changes hands.
+    // When another VM takes over the lease, one probe may be saved up and one may be in flight.
     for (const core::Duration window : {core::Duration{1s}, core::Duration{10s}, core::Duration{60s}})
-        BOOST_TEST(mostWithin(group.probes, window) <= budget * core::toSeconds(window) + 12.0);
+        BOOST_TEST(maxCostWithin(group.probes, window) <= budget * core::toSeconds(window) + 12.0);
     BOOST_TEST(group.probes.size() > 300U);
 }
 
@@ -282,10 +283,10 @@
     (void)group.put("admissa", "{\"workspace\": \"quetzal\"}");
     (void)group.put("admissa", "nonsense");
     group.run(10s);
-    BOOST_TEST(group.everywhere("admissa", good));
+    BOOST_TEST(group.appliedEverywhere("admissa", good));
     BOOST_TEST(group.history.back().revision == good);
     const auto better = group.put("admissa", declaration("admissa"));
-    BOOST_TEST(group.runUntil([&] { return group.everywhere("admissa", better); }, 2s));
+    BOOST_TEST(group.runUntil([&] { return group.appliedEverywhere("admissa", better); }, 2s));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/node/Dispatcher.test.cpp
+++ b/test/node/Dispatcher.test.cpp
@@ -48,7 +48,7 @@
     {
         Outcome outcome;
         outcome.result = result;
-        return dispatcher.finish(step.ticket, outcome, now);
+        return dispatcher.finishAttempt(step.ticket, outcome, now);
     }
 
     std::vector<Step> released()
@@ -67,7 +67,7 @@
 BOOST_FIXTURE_TEST_SUITE(Dispatcher, Fixture)
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(withoutConfigurationNothingWrongIsServed)
+BOOST_AUTO_TEST_CASE(withoutConfigurationRequestsAreRefused)
 {
     node::Dispatcher empty{{}};
     const Step       step = empty.admit({"portal.admissa", "GET", "/", {}}, now);
@@ -78,7 +78,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(hostsOfOtherWorkspacesLeadNowhere)
+BOOST_AUTO_TEST_CASE(unknownHostsAreRefused)
 {
     for (const char* host : {"portal.quetzal", "ledger.admissa", "portal", ""})
     {
@@ -100,7 +100,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(whatIsNotRepeatableIsNeverSentAgainOnceItMayHaveArrived)
+BOOST_AUTO_TEST_CASE(nonRepeatableRequestsAreNotRetriedOnceTheyMayHaveArrived)
 {
     for (const AttemptResult result : {AttemptResult::Unknown, AttemptResult::Shed, AttemptResult::Abandoned})
     {
@@ -120,7 +120,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aRequestThatNeverLeftGoesToAnotherServer)
+BOOST_AUTO_TEST_CASE(aRequestThatWasNotSentGoesToAnotherServer)
 {
     const Step first = admit("POST", "/fees");
     const Step second = finish(first, AttemptResult::NotSent);
@@ -142,12 +142,12 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(noRetryBelowAnAnswerThatForbidsIt)
+BOOST_AUTO_TEST_CASE(noRetryAfterAnAnswerThatForbidsIt)
 {
     Outcome outcome;
     outcome.result = AttemptResult::Failed;
     outcome.retryForbidden = true;
-    BOOST_TEST((dispatcher.finish(admit().ticket, outcome, now).verdict == Verdict::Answer));
+    BOOST_TEST((dispatcher.finishAttempt(admit().ticket, outcome, now).verdict == Verdict::Answer));
 }
 
 ////////////////////////////////////////////////////////////
@@ -157,7 +157,7 @@
     Step              step = admit();
     for (; step.verdict == Verdict::Forward; step = admit())
         sent.push_back(step);
-    BOOST_TEST(sent.size() == 12U); // Four servers, limits of three
+    BOOST_TEST(sent.size() == 12U); // Four servers, each with a limit of three
     BOOST_REQUIRE((step.verdict == Verdict::Hold));
     BOOST_TEST(released().empty());
     now += 5ms;
@@ -170,7 +170,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aHeldRequestIsGivenUpInTimeAndCanBeCancelled)
+BOOST_AUTO_TEST_CASE(aHeldRequestExpiresAndCanBeCancelled)
 {
     while (admit().verdict == Verdict::Forward)
     {
@@ -222,71 +222,71 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(leavingServersGetNothingAndPeersHearOfIt)
+BOOST_AUTO_TEST_CASE(drainingServersGetNoRequestsAndAreReportedOnce)
 {
     Outcome outcome;
     outcome.result = AttemptResult::Answered;
     outcome.draining = true;
     const Step step = admit();
-    (void)dispatcher.finish(step.ticket, outcome, now);
-    std::vector<node::ServerReport> news;
-    dispatcher.takeNews(news);
-    BOOST_REQUIRE(news.size() == 1U);
-    BOOST_TEST(news.front().server == step.target->server);
+    (void)dispatcher.finishAttempt(step.ticket, outcome, now);
+    std::vector<node::ServerReport> reports;
+    dispatcher.takeDrainingReports(reports);
+    BOOST_REQUIRE(reports.size() == 1U);
+    BOOST_TEST(reports.front().server == step.target->server);
     for (int i = 0; i < 100; ++i)
     {
         const Step next = admit();
         BOOST_TEST(next.target->server != step.target->server);
         (void)finish(next, AttemptResult::Answered);
     }
-    dispatcher.takeNews(news);
-    BOOST_TEST(news.empty());
+    dispatcher.takeDrainingReports(reports);
+    BOOST_TEST(reports.empty());
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aServerThatShedsAndSaysForHowLongGetsNothingBefore)
+BOOST_AUTO_TEST_CASE(aServerThatShedsGetsNoRequestsBeforeItsRetryAfter)
 {
     const Step shed = admit();
     Outcome    outcome;
     outcome.result = AttemptResult::Shed;
-    outcome.comeBack = 3s;
-    const Step again = dispatcher.finish(shed.ticket, outcome, now);
+    outcome.retryAfter = 3s;
+    const Step again = dispatcher.finishAttempt(shed.ticket, outcome, now);
     BOOST_REQUIRE((again.verdict == Verdict::Forward));
     BOOST_TEST((finish(again, AttemptResult::Answered).verdict == Verdict::Answer));
-    std::set<std::string> got;
-    const auto            serve = [&](core::Duration time)
+    std::set<std::string> used;
+    const auto            serveFor = [&](core::Duration time)
     {
         for (const core::Timestamp until = now + time; now < until; now += 20ms)
         {
             const Step step = admit();
             BOOST_REQUIRE((step.verdict == Verdict::Forward));
-            got.insert(step.target->server);
+            used.insert(step.target->server);
             (void)finish(step, AttemptResult::Answered);
         }
     };
-    serve(2900ms);
-    BOOST_TEST(!got.contains(shed.target->server));
-    // With the others busy it is used again, once its share has grown.
+    serveFor(2900ms);
+    BOOST_TEST(!used.contains(shed.target->server));
+    // The server is used again while the others are busy, once its ramp has raised its share.
     now += 3s;
     for (int i = 0; i < 9; ++i)
     {
         if (const Step step = admit(); step.verdict == Verdict::Forward)
-            got.insert(step.target->server);
+            used.insert(step.target->server);
     }
-    BOOST_TEST(got.contains(shed.target->server));
+    BOOST_TEST(used.contains(shed.target->server));
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(whenAllServersShedAndSayForHowLongRequestsAreRefusedAtOnce)
+BOOST_AUTO_TEST_CASE(requestsAreRefusedAtOnceWhileAllServersShed)
 {
     Outcome outcome;
     outcome.result = AttemptResult::Shed;
-    outcome.comeBack = 3s;
+    outcome.retryAfter = 3s;
     for (int i = 0; i < 4; ++i)
     {
         const Step step = admit("POST", "/fees");
         if (step.verdict == Verdict::Forward)
-            (void)dispatcher.finish(step.ticket, outcome, now);
+            (void)dispatcher.finishAttempt(step.ticket, outcome, now);
     }
     const Step step = admit();
     BOOST_REQUIRE((step.verdict == Verdict::Refuse));
@@ -295,7 +295,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aNewConfigurationKeepsWhatIsUnderWay)
+BOOST_AUTO_TEST_CASE(aNewConfigurationKeepsRequestsInFlight)
 {
     const Step        step = admit();
     config::Workspace changed = workspaceOf(4);
@@ -312,7 +312,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(serversThatComeAndGoLeaveNothingBehind)
+BOOST_AUTO_TEST_CASE(replacedServersLeaveNoEntriesBehind)
 {
     for (int i = 0; i < 500; ++i)
     {
@@ -323,11 +323,11 @@
     std::size_t servers = 0;
     dispatcher.visitServers(now, [&](const auto&, routing::Standing) { ++servers; });
     BOOST_TEST(servers == 4U);
-    BOOST_TEST(dispatcher.serverPlaces() == 4U);
+    BOOST_TEST(dispatcher.serverEntries() == 4U);
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aDeletedWorkspaceRefusesWhatWaits)
+BOOST_AUTO_TEST_CASE(aDeletedWorkspaceRefusesHeldRequests)
 {
     while (admit().verdict == Verdict::Forward)
     {
