--- a/include/sailpath/limits/ConcurrencyLimit.hpp
+++ b/include/sailpath/limits/ConcurrencyLimit.hpp
@@ -9,11 +9,11 @@
 ////////////////////////////////////////////////////////////
 struct ConcurrencySettings
 {
-    double         least{0.1};                           //!< Smallest limit; fractions add up over a pool
-    double         fullness{1.7};                        //!< Requests a slot, of all nodes, above which to back off
-    double         backoff{0.85};                        //!< Factor of a decrease
-    double         growth{0.25};                         //!< Growth per good answer at limit 1
-    core::Duration pause{std::chrono::milliseconds{20}}; //!< Least time between two decreases
+    double         minLimit{0.1};        //!< Smallest limit; fractions add up over a pool
+    double         overloadRatio{1.7};   //!< Requests a slot, of all nodes, above which to back off
+    double         decreaseFactor{0.85}; //!< Factor of a decrease
+    double         increaseStep{0.25};   //!< Growth per good answer at limit 1
+    core::Duration decreaseInterval{std::chrono::milliseconds{20}}; //!< Least time between two decreases
 };
 
 ////////////////////////////////////////////////////////////
@@ -42,12 +42,12 @@
     /// \param own       Own requests at the server when it answered
     /// \param now       Current time
     ////////////////////////////////////////////////////////////
-    void answered(double occupancy, unsigned own, core::Timestamp now);
+    void recordSuccess(double occupancy, unsigned own, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Learn that the server shed a request
     ////////////////////////////////////////////////////////////
-    void shed(core::Timestamp now);
+    void recordRejection(core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief The limit, a fraction of a request included
--- a/include/sailpath/limits/MeasuringBudget.hpp
+++ b/include/sailpath/limits/ProbeTimeBudget.hpp
@@ -12,7 +12,7 @@
 /// A probe is charged before it is sent and never refunded, whatever
 /// becomes of it.
 ////////////////////////////////////////////////////////////
-class MeasuringBudget
+class ProbeTimeBudget
 {
 public:
     ////////////////////////////////////////////////////////////
@@ -21,7 +21,7 @@
     /// \param rate Server-milliseconds a second
     /// \param now  Current time
     ////////////////////////////////////////////////////////////
-    MeasuringBudget(double rate, core::Timestamp now);
+    ProbeTimeBudget(double rate, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Charge a probe
--- a/include/sailpath/limits/WaitPatience.hpp
+++ b/include/sailpath/limits/QueueWaitLimit.hpp
@@ -12,7 +12,7 @@
 /// none the more, so it is kept short until it has gone (the insight of
 /// CoDel: Nichols and Jacobson, ACM Queue 10(5), 2012).
 ////////////////////////////////////////////////////////////
-class WaitPatience
+class QueueWaitLimit
 {
 public:
     ////////////////////////////////////////////////////////////
@@ -27,7 +27,7 @@
     /// \param usualLatency Usual time from sending to the answer
     /// \param now          Current time
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] core::Duration longest(core::Duration configured, core::Duration usualLatency,
+    [[nodiscard]] core::Duration maxWait(core::Duration configured, core::Duration usualLatency,
                                          core::Timestamp now) const;
 
 private:
--- a/include/sailpath/limits/WaitQueue.hpp
+++ b/include/sailpath/limits/WaitQueue.hpp
@@ -16,8 +16,8 @@
 {
     std::uint32_t    ticket{0};                               //!< The node's number for it
     config::Priority priority{config::Priority::Interactive}; //!< Its class
-    core::Timestamp  since{};                                 //!< Start of the wait
-    core::Timestamp  latest{};                                //!< Given up when it still waits then
+    core::Timestamp  enqueuedAt{};                            //!< Start of the wait
+    core::Timestamp  deadline{};                              //!< Given up when it still waits then
 };
 
 ////////////////////////////////////////////////////////////
@@ -81,7 +81,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Requests that would be served before a new one of this class
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] std::size_t ahead(config::Priority priority) const;
+    [[nodiscard]] std::size_t countAhead(config::Priority priority) const;
 
     ////////////////////////////////////////////////////////////
     /// \brief Requests that wait
--- a/include/sailpath/limits/WorkspaceShares.hpp
+++ b/include/sailpath/limits/WorkspaceShares.hpp
@@ -32,12 +32,12 @@
     ///
     /// \return False when the workspace holds its share or no place is free
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] bool take(std::string_view workspace);
+    [[nodiscard]] bool acquire(std::string_view workspace);
 
     ////////////////////////////////////////////////////////////
     /// \brief Give a place back
     ////////////////////////////////////////////////////////////
-    void give(std::string_view workspace);
+    void release(std::string_view workspace);
 
     ////////////////////////////////////////////////////////////
     /// \brief Places that a workspace holds
@@ -47,7 +47,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Places that are held in all
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] std::size_t heldInAll() const;
+    [[nodiscard]] std::size_t totalHeld() const;
 
 private:
     std::size_t                  m_places;      //!< Places in all
--- a/include/sailpath/membership/MemberTable.hpp
+++ b/include/sailpath/membership/MemberTable.hpp
@@ -18,10 +18,10 @@
 ////////////////////////////////////////////////////////////
 struct MembershipSettings
 {
-    core::Duration suspicion{std::chrono::seconds{4}};   //!< From suspected to dead
-    core::Duration forget{std::chrono::minutes{10}};     //!< From dead to forgotten
-    core::Duration reviveEvery{std::chrono::seconds{5}}; //!< Between tries to reach a dead member
-    double         spread{3.0};                          //!< A claim is told spread x log2(members) times
+    core::Duration suspicionTimeout{std::chrono::seconds{4}};  //!< From suspected to dead
+    core::Duration deadRetention{std::chrono::minutes{10}};    //!< From dead to forgotten
+    core::Duration deadRetryInterval{std::chrono::seconds{5}}; //!< Between tries to reach a dead member
+    double         sendFactor{3.0};                            //!< A claim is told spread x log2(members) times
 };
 
 ////////////////////////////////////////////////////////////
@@ -51,19 +51,19 @@
     ////////////////////////////////////////////////////////////
     /// \brief Hear of a member from the platform's list, which lags: it only adds names to try
     ////////////////////////////////////////////////////////////
-    void hint(const Member& listed, core::Timestamp now);
+    void addListed(const Member& listed, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Note that a member answered or called
     ///
     /// \return Whether it must be told that it is held for suspect or dead, so that it can deny it
     ////////////////////////////////////////////////////////////
-    bool heard(const Member& peer, core::Timestamp now);
+    bool recordContact(const Member& peer, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Note that a member could not be reached
     ////////////////////////////////////////////////////////////
-    void unreachable(std::string_view name, core::Timestamp now);
+    void recordUnreachable(std::string_view name, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Announce that the owner stops
@@ -90,7 +90,7 @@
     ///
     /// \param most Number of claims at most
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] std::vector<Member> claimsToTell(std::size_t most);
+    [[nodiscard]] std::vector<Member> claimsToSend(std::size_t most);
 
     ////////////////////////////////////////////////////////////
     /// \brief Names of the members that are alive, the owner included
@@ -109,21 +109,21 @@
 private:
     struct Entry
     {
-        Member          member;  //!< What is believed
-        core::Timestamp since{}; //!< Start of the present status
-        unsigned        told{0}; //!< Times that the claim was sent
+        Member          member;       //!< What is believed
+        core::Timestamp since{};      //!< Start of the present status
+        unsigned        sendCount{0}; //!< Times that the claim was sent
     };
 
-    void                   accept(const Member& claim, core::Timestamp now);
-    void                   deny(std::uint64_t incarnation, core::Timestamp now);
-    [[nodiscard]] unsigned tellLimit() const;
+    void                   applyClaim(const Member& claim, core::Timestamp now);
+    void                   refute(std::uint64_t incarnation, core::Timestamp now);
+    [[nodiscard]] unsigned sendLimit() const;
 
-    Member                   m_self;         //!< The owner
-    MembershipSettings       m_settings;     //!< Constants
-    core::StringMap<Entry>   m_entries;      //!< By name, the owner included
-    std::vector<std::string> m_round;        //!< Names left to contact in this turn
-    core::Timestamp          m_nextRevive{}; //!< Next try of a dead member
-    std::uint64_t            m_version{0};   //!< Changes of who is alive
+    Member                   m_self;            //!< The owner
+    MembershipSettings       m_settings;        //!< Constants
+    core::StringMap<Entry>   m_entries;         //!< By name, the owner included
+    std::vector<std::string> m_uncontacted;     //!< Names left to contact in this turn
+    core::Timestamp          m_nextDeadRetry{}; //!< Next try of a dead member
+    std::uint64_t            m_version{0};      //!< Changes of who is alive
 };
 
 } // namespace sailpath::membership
--- a/include/sailpath/node/Dispatcher.hpp
+++ b/include/sailpath/node/Dispatcher.hpp
@@ -34,7 +34,7 @@
 class Dispatcher
 {
 public:
-    using ServerVisitor = std::function<void(const std::shared_ptr<const Target>&, routing::Standing)>;
+    using ServerVisitor = std::function<void(const std::shared_ptr<const Target>&, routing::Availability)>;
 
     ////////////////////////////////////////////////////////////
     /// \brief Create a dispatcher without configuration
--- a/include/sailpath/node/Prober.hpp
+++ b/include/sailpath/node/Prober.hpp
@@ -3,7 +3,7 @@
 #include <sailpath/config/Workspace.hpp>
 #include <sailpath/core/StringMap.hpp>
 #include <sailpath/core/Time.hpp>
-#include <sailpath/limits/MeasuringBudget.hpp>
+#include <sailpath/limits/ProbeTimeBudget.hpp>
 #include <sailpath/node/ControlAction.hpp>
 #include <sailpath/node/ControllerSettings.hpp>
 #include <sailpath/node/LeaseAnswer.hpp>
@@ -85,7 +85,7 @@
         unsigned                                   group{0}; //!< Its probe group
         std::vector<std::shared_ptr<const Target>> servers;  //!< All its servers
         std::size_t                                next{0};  //!< Server to probe next
-        std::optional<limits::MeasuringBudget>     budget;   //!< While the group is held
+        std::optional<limits::ProbeTimeBudget>     budget;   //!< While the group is held
     };
 
     struct Group
--- a/include/sailpath/retries/RetryBudget.hpp
+++ b/include/sailpath/retries/RetryBudget.hpp
@@ -11,7 +11,7 @@
 class RetryBudget
 {
 public:
-    static constexpr double mostSaved = 10.0; //!< Retries that may be saved up
+    static constexpr double maxTokens = 10.0; //!< Retries that may be saved up
 
     ////////////////////////////////////////////////////////////
     /// \brief Create a budget
@@ -28,18 +28,18 @@
     ////////////////////////////////////////////////////////////
     /// \brief Note a first attempt
     ////////////////////////////////////////////////////////////
-    void firstAttempt();
+    void recordFirstAttempt();
 
     ////////////////////////////////////////////////////////////
     /// \brief Take one retry
     ///
     /// \return Whether it is allowed
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] bool take();
+    [[nodiscard]] bool tryConsume();
 
 private:
-    double m_share;      //!< Retries as a share of first attempts
-    double m_saved{1.0}; //!< Retries allowed now
+    double m_share;       //!< Retries as a share of first attempts
+    double m_tokens{1.0}; //!< Retries allowed now
 };
 
 } // namespace sailpath::retries
--- a/include/sailpath/retries/RetryPolicy.hpp
+++ b/include/sailpath/retries/RetryPolicy.hpp
@@ -14,7 +14,7 @@
 {
     AttemptResult  result{AttemptResult::Unknown}; //!< How the attempt ended
     bool           repeatable{false};              //!< Operators' rule for its route
-    bool           bodyAtHand{true};               //!< Whether the body can be sent once more
+    bool           bodyReplayable{true};           //!< Whether the body can be sent once more
     bool           retryForbidden{false};          //!< The answer says not to retry
     unsigned       attempts{1};                    //!< Attempts made, this one included
     core::Duration timeLeft{};                     //!< Time until its deadline
--- a/include/sailpath/routing/LoadSettings.hpp
+++ b/include/sailpath/routing/LoadSettings.hpp
@@ -9,9 +9,9 @@
 ////////////////////////////////////////////////////////////
 struct LoadSettings
 {
-    double         workGain{0.03};  //!< Share of a new sample in the usual work
-    double         recentGain{0.3}; //!< The same for the recent work, which shows peaks
-    double         peak{2.5};       //!< Recent work counts in place of the usual when it is so many times as long
+    double         usualWorkWeight{0.03}; //!< Share of a new sample in the usual work
+    double         recentWorkWeight{0.3}; //!< The same for the recent work, which shows peaks
+    double         peakRatio{2.5};        //!< Recent work counts in place of the usual when it is so many times as long
     core::Duration reportHalfLife{std::chrono::milliseconds{20}}; //!< Age at which a report counts half
     bool           useReports{true};                              //!< Whether load reports count at all
     bool           useOldestAge{true}; //!< Whether unanswered requests count before their answer
--- a/include/sailpath/routing/ServerHealth.hpp
+++ b/include/sailpath/routing/ServerHealth.hpp
@@ -7,7 +7,7 @@
 ////////////////////////////////////////////////////////////
 /// \brief What a server may be given at present
 ////////////////////////////////////////////////////////////
-enum class Standing
+enum class Availability
 {
     Healthy, //!< Any request
     Ramping, //!< A growing share, as it may be cold
@@ -24,9 +24,9 @@
 {
     unsigned       failuresToEject{3};                            //!< Failures in a row
     core::Duration firstEjection{std::chrono::milliseconds{500}}; //!< Length of the first ejection; doubles
-    core::Duration longestEjection{std::chrono::seconds{8}};      //!< Longest ejection
-    core::Duration ramp{std::chrono::seconds{2}};                 //!< Time from return to a full share
-    core::Duration drainMemory{std::chrono::minutes{10}}; //!< Draining is believed this long after it was last said
+    core::Duration maxEjection{std::chrono::seconds{8}};          //!< Longest ejection
+    core::Duration rampDuration{std::chrono::seconds{2}};         //!< Time from return to a full share
+    core::Duration drainTimeout{std::chrono::minutes{10}}; //!< Draining is believed this long after it was last said
 };
 
 ////////////////////////////////////////////////////////////
@@ -48,7 +48,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Note a good answer
     ////////////////////////////////////////////////////////////
-    void succeeded(core::Timestamp now);
+    void recordSuccess(core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Note a failure
@@ -58,17 +58,17 @@
     ///
     /// \return Whether the server was ejected by this
     ////////////////////////////////////////////////////////////
-    bool failed(core::Timestamp now, bool mayEject);
+    bool recordFailure(core::Timestamp now, bool mayEject);
 
     ////////////////////////////////////////////////////////////
     /// \brief Note that a trial ended without a verdict, as when its caller hung up
     ////////////////////////////////////////////////////////////
-    void trialAbandoned();
+    void recordTrialAbandoned();
 
     ////////////////////////////////////////////////////////////
     /// \brief Note that a trial request was sent
     ////////////////////////////////////////////////////////////
-    void trialSent();
+    void recordTrialSent();
 
     ////////////////////////////////////////////////////////////
     /// \brief Note whether the server says that it is leaving
@@ -78,22 +78,22 @@
     ///
     /// \return Whether it was not believed to be leaving before
     ////////////////////////////////////////////////////////////
-    bool draining(bool leaving, core::Timestamp at);
+    bool recordDraining(bool leaving, core::Timestamp at);
 
     ////////////////////////////////////////////////////////////
     /// \brief Note that the server asked this node for no requests until a time; the latest holds
     ////////////////////////////////////////////////////////////
-    void backOff(core::Timestamp until);
+    void recordBackOff(core::Timestamp until);
 
     ////////////////////////////////////////////////////////////
     /// \brief Note that a server that was leaving has closed its connections; trials tell when it is back
     ////////////////////////////////////////////////////////////
-    void gone(core::Timestamp now);
+    void recordClosed(core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief What the server may be given
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] Standing standing(core::Timestamp now) const;
+    [[nodiscard]] Availability availability(core::Timestamp now) const;
 
     ////////////////////////////////////////////////////////////
     /// \brief Share of its normal load that it should get, in (0, 1]
--- a/include/sailpath/routing/ServerLoad.hpp
+++ b/include/sailpath/routing/ServerLoad.hpp
@@ -31,14 +31,14 @@
     ////////////////////////////////////////////////////////////
     /// \brief Note that a request was sent
     ////////////////////////////////////////////////////////////
-    void sent(core::Timestamp now);
+    void recordSent(core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Note that a request ended, whatever its outcome
     ///
     /// \param sentAt Time given to `sent` for this request
     ////////////////////////////////////////////////////////////
-    void ended(core::Timestamp sentAt);
+    void recordEnded(core::Timestamp sentAt);
 
     ////////////////////////////////////////////////////////////
     /// \brief Learn from a good answer
@@ -51,7 +51,7 @@
     ///
     /// \return The request's work without network and waiting, milliseconds
     ////////////////////////////////////////////////////////////
-    double learn(core::Duration latency, double expected);
+    double recordLatency(core::Duration latency, double expected);
 
     ////////////////////////////////////////////////////////////
     /// \brief Note a report, which replaces an older one
@@ -59,7 +59,7 @@
     /// \param report What the server said
     /// \param at     Time to which the report belongs
     ////////////////////////////////////////////////////////////
-    void reported(LoadReport report, core::Timestamp at);
+    void recordReport(LoadReport report, core::Timestamp at);
 
     ////////////////////////////////////////////////////////////
     /// \brief Own requests in flight
--- a/include/sailpath/state/Backoff.hpp
+++ b/include/sailpath/state/Backoff.hpp
@@ -33,8 +33,8 @@
     void reset();
 
 private:
-    core::Duration m_first;   //!< Shortest wait
-    core::Duration m_longest; //!< Longest wait
+    core::Duration m_minWait; //!< Shortest wait
+    core::Duration m_maxWait; //!< Longest wait
     core::Duration m_last;    //!< Previous wait
 };
 
--- a/include/sailpath/state/ConfigurationState.hpp
+++ b/include/sailpath/state/ConfigurationState.hpp
@@ -34,7 +34,7 @@
     ///
     /// \return Whether it was taken
     ////////////////////////////////////////////////////////////
-    bool offer(const Document& document);
+    bool applyIfNewer(const Document& document);
 
     ////////////////////////////////////////////////////////////
     /// \brief Revision up to which the state is complete; 0 before the first
@@ -45,9 +45,9 @@
     /// \brief Documents newer than a revision
     ///
     /// \param revision  Revision that the asker has
-    /// \param mostBytes Bound on the text; at least one document is given
+    /// \param maxBytes Bound on the text; at least one document is given
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] DocumentBatch since(std::uint64_t revision, std::size_t mostBytes) const;
+    [[nodiscard]] DocumentBatch since(std::uint64_t revision, std::size_t maxBytes) const;
 
     ////////////////////////////////////////////////////////////
     /// \brief The document of a workspace; null when there is none
--- a/include/sailpath/state/HeldLease.hpp
+++ b/include/sailpath/state/HeldLease.hpp
@@ -24,17 +24,17 @@
     /// \param length Length that the store answered
     /// \param sentAt Time at which the request was sent
     ////////////////////////////////////////////////////////////
-    void granted(std::int64_t id, core::Duration length, core::Timestamp sentAt);
+    void recordGrant(std::int64_t id, core::Duration length, core::Timestamp sentAt);
 
     ////////////////////////////////////////////////////////////
     /// \brief Note that the lease is gone
     ////////////////////////////////////////////////////////////
-    void lost();
+    void recordLoss();
 
     ////////////////////////////////////////////////////////////
     /// \brief Whether the holder may act on it now
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] bool valid(core::Timestamp now) const;
+    [[nodiscard]] bool isValid(core::Timestamp now) const;
 
     ////////////////////////////////////////////////////////////
     /// \brief The store's id while the lease is held
--- a/src/programs/Entry.cpp
+++ b/src/programs/Entry.cpp
@@ -122,9 +122,9 @@
         [&leaving](const node::Dispatcher& dispatcher)
         {
             dispatcher.visitServers(entry::steadyNow(),
-                                    [&leaving](const auto& target, routing::Standing standing)
+                                    [&leaving](const auto& target, routing::Availability standing)
                                     {
-                                        if (standing == routing::Standing::Draining)
+                                        if (standing == routing::Availability::Draining)
                                             leaving.push_back(target);
                                     });
         });
--- a/src/sailpath/limits/ConcurrencyLimit.cpp
+++ b/src/sailpath/limits/ConcurrencyLimit.cpp
@@ -14,20 +14,20 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ConcurrencyLimit::answered(double occupancy, unsigned own, core::Timestamp now)
+void ConcurrencyLimit::recordSuccess(double occupancy, unsigned own, core::Timestamp now)
 {
-    if (occupancy > m_settings.fullness * m_slots)
+    if (occupancy > m_settings.overloadRatio * m_slots)
     {
         decrease(now);
         return;
     }
     // Grow only a limit that is in use, or it would grow without a reason.
     if (own + 1.0 >= m_limit * 0.5)
-        m_limit = std::min(m_most, m_limit + m_settings.growth / std::max(1.0, m_limit));
+        m_limit = std::min(m_most, m_limit + m_settings.increaseStep / std::max(1.0, m_limit));
 }
 
 ////////////////////////////////////////////////////////////
-void ConcurrencyLimit::shed(core::Timestamp now)
+void ConcurrencyLimit::recordRejection(core::Timestamp now)
 {
     decrease(now);
 }
@@ -43,8 +43,8 @@
 {
     if (now < m_nextDecrease)
         return;
-    m_limit = std::max(m_settings.least, m_limit * m_settings.backoff);
-    m_nextDecrease = now + m_settings.pause;
+    m_limit = std::max(m_settings.minLimit, m_limit * m_settings.decreaseFactor);
+    m_nextDecrease = now + m_settings.decreaseInterval;
 }
 
 } // namespace sailpath::limits
--- a/src/sailpath/limits/MeasuringBudget.cpp
+++ b/src/sailpath/limits/ProbeTimeBudget.cpp
@@ -1,18 +1,18 @@
-#include <sailpath/limits/MeasuringBudget.hpp>
+#include <sailpath/limits/ProbeTimeBudget.hpp>
 
 #include <algorithm>
 
 namespace sailpath::limits
 {
 ////////////////////////////////////////////////////////////
-MeasuringBudget::MeasuringBudget(double rate, core::Timestamp now) :
+ProbeTimeBudget::ProbeTimeBudget(double rate, core::Timestamp now) :
 m_rate(rate),
 m_accruedAt(now)
 {
 }
 
 ////////////////////////////////////////////////////////////
-bool MeasuringBudget::charge(core::Duration cost, core::Timestamp now)
+bool ProbeTimeBudget::charge(core::Duration cost, core::Timestamp now)
 {
     const double price = core::toMilliseconds(cost);
     accrue(now, price);
@@ -24,20 +24,20 @@
 }
 
 ////////////////////////////////////////////////////////////
-void MeasuringBudget::setRate(double rate, core::Timestamp now)
+void ProbeTimeBudget::setRate(double rate, core::Timestamp now)
 {
     accrue(now, std::max(m_saved, 0.0) + m_rate * core::toSeconds(now - m_accruedAt));
     m_rate = rate;
 }
 
 ////////////////////////////////////////////////////////////
-double MeasuringBudget::spent() const
+double ProbeTimeBudget::spent() const
 {
     return m_spent;
 }
 
 ////////////////////////////////////////////////////////////
-void MeasuringBudget::accrue(core::Timestamp now, double most)
+void ProbeTimeBudget::accrue(core::Timestamp now, double most)
 {
     if (now > m_accruedAt)
         m_saved += m_rate * core::toSeconds(now - m_accruedAt);
--- a/src/sailpath/limits/WaitPatience.cpp
+++ b/src/sailpath/limits/QueueWaitLimit.cpp
@@ -1,4 +1,4 @@
-#include <sailpath/limits/WaitPatience.hpp>
+#include <sailpath/limits/QueueWaitLimit.hpp>
 
 #include <algorithm>
 
@@ -11,7 +11,7 @@
 } // namespace
 
 ////////////////////////////////////////////////////////////
-void WaitPatience::observe(bool empty, core::Timestamp now)
+void QueueWaitLimit::observe(bool empty, core::Timestamp now)
 {
     const bool gone = now - m_lastQueue > calm;
     if (!empty)
@@ -25,7 +25,8 @@
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration WaitPatience::longest(core::Duration configured, core::Duration usualLatency, core::Timestamp now) const
+core::Duration QueueWaitLimit::maxWait(core::Duration configured, core::Duration usualLatency,
+                                       core::Timestamp now) const
 {
     if (m_standsSince == core::Timestamp::max() || now - m_standsSince < standing)
         return configured;
--- a/src/sailpath/limits/WaitQueue.cpp
+++ b/src/sailpath/limits/WaitQueue.cpp
@@ -22,7 +22,7 @@
 std::optional<WaitingRequest> popExpiredFrom(std::deque<WaitingRequest>& queue, core::Timestamp now)
 {
     const auto found = std::find_if(queue.begin(), queue.end(),
-                                    [now](const WaitingRequest& request) { return request.latest <= now; });
+                                    [now](const WaitingRequest& request) { return request.deadline <= now; });
     if (found == queue.end())
         return std::nullopt;
     const WaitingRequest expired = *found;
@@ -96,7 +96,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t WaitQueue::ahead(config::Priority priority) const
+std::size_t WaitQueue::countAhead(config::Priority priority) const
 {
     if (priority == config::Priority::Batch)
         return size();
--- a/src/sailpath/limits/WorkspaceShares.cpp
+++ b/src/sailpath/limits/WorkspaceShares.cpp
@@ -11,7 +11,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool WorkspaceShares::take(std::string_view workspace)
+bool WorkspaceShares::acquire(std::string_view workspace)
 {
     const std::size_t free = m_places - m_held;
     auto              found = m_byWorkspace.find(workspace);
@@ -27,7 +27,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void WorkspaceShares::give(std::string_view workspace)
+void WorkspaceShares::release(std::string_view workspace)
 {
     const auto found = m_byWorkspace.find(workspace);
     assert(found != m_byWorkspace.end() && found->second > 0);
@@ -43,7 +43,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t WorkspaceShares::heldInAll() const
+std::size_t WorkspaceShares::totalHeld() const
 {
     return m_held;
 }
--- a/src/sailpath/membership/MemberTable.cpp
+++ b/src/sailpath/membership/MemberTable.cpp
@@ -37,47 +37,47 @@
     for (const Member& claim : claims)
     {
         if (claim.name != m_self.name)
-            accept(claim, now);
+            applyClaim(claim, now);
         else if (supersedes(claim, m_self) && claim.status != MemberStatus::Alive)
-            deny(claim.incarnation, now);
+            refute(claim.incarnation, now);
     }
 }
 
 ////////////////////////////////////////////////////////////
-void MemberTable::hint(const Member& listed, core::Timestamp now)
+void MemberTable::addListed(const Member& listed, core::Timestamp now)
 {
     if (listed.name == m_self.name || m_entries.find(listed.name) != m_entries.end())
         return;
     Member unconfirmed = listed;
     unconfirmed.incarnation = 0;
     unconfirmed.status = MemberStatus::Alive;
-    accept(unconfirmed, now);
+    applyClaim(unconfirmed, now);
 }
 
 ////////////////////////////////////////////////////////////
-bool MemberTable::heard(const Member& peer, core::Timestamp now)
+bool MemberTable::recordContact(const Member& peer, core::Timestamp now)
 {
     if (peer.name == m_self.name)
         return false;
-    accept(peer, now);
+    applyClaim(peer, now);
     const auto found = m_entries.find(peer.name);
     if (found == m_entries.end() || peer.status != MemberStatus::Alive ||
         found->second.member.status == MemberStatus::Alive)
         return false;
     // It lives, but only it may take the claim back: others have heard the claim too.
-    found->second.told = 0;
+    found->second.sendCount = 0;
     return true;
 }
 
 ////////////////////////////////////////////////////////////
-void MemberTable::unreachable(std::string_view name, core::Timestamp now)
+void MemberTable::recordUnreachable(std::string_view name, core::Timestamp now)
 {
     const auto found = m_entries.find(name);
     if (found == m_entries.end() || found->second.member.status != MemberStatus::Alive)
         return;
     Member claim = found->second.member;
     claim.status = MemberStatus::Suspect;
-    accept(claim, now);
+    applyClaim(claim, now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -98,14 +98,14 @@
         const core::Duration age = now - entry.since;
         const bool           fading = entry.member.status == MemberStatus::Suspect ||
                             (entry.member.status == MemberStatus::Leaving && name != m_self.name);
-        if (fading && age > m_settings.suspicion)
+        if (fading && age > m_settings.suspicionTimeout)
         {
             entry.member.status = MemberStatus::Dead;
             entry.since = now;
-            entry.told = 0;
+            entry.sendCount = 0;
             ++m_version;
         }
-        else if (entry.member.status == MemberStatus::Dead && age > m_settings.forget)
+        else if (entry.member.status == MemberStatus::Dead && age > m_settings.deadRetention)
             forgotten.push_back(name);
     }
     for (const std::string& name : forgotten)
@@ -118,10 +118,10 @@
 ////////////////////////////////////////////////////////////
 std::optional<Member> MemberTable::nextPeer(core::Random& random, core::Timestamp now)
 {
-    if (now >= m_nextRevive)
+    if (now >= m_nextDeadRetry)
     {
         // After a network split both sides hold the other for dead; somebody has to ask.
-        m_nextRevive = now + m_settings.reviveEvery;
+        m_nextDeadRetry = now + m_settings.deadRetryInterval;
         std::vector<const Member*> dead;
         for (const auto& item : m_entries)
         {
@@ -131,20 +131,20 @@
         if (!dead.empty())
             return *dead[random.below(dead.size())];
     }
-    if (m_round.empty())
+    if (m_uncontacted.empty())
     {
         for (const auto& [name, entry] : m_entries)
         {
             if (name != m_self.name && isContacted(entry.member))
-                m_round.push_back(name);
+                m_uncontacted.push_back(name);
         }
-        std::sort(m_round.begin(), m_round.end());
-        shuffle(m_round, random);
+        std::sort(m_uncontacted.begin(), m_uncontacted.end());
+        shuffle(m_uncontacted, random);
     }
-    while (!m_round.empty())
+    while (!m_uncontacted.empty())
     {
-        const std::string name = std::move(m_round.back());
-        m_round.pop_back();
+        const std::string name = std::move(m_uncontacted.back());
+        m_uncontacted.pop_back();
         const auto found = m_entries.find(name);
         if (found != m_entries.end() && isContacted(found->second.member))
             return found->second.member;
@@ -169,21 +169,21 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<Member> MemberTable::claimsToTell(std::size_t most)
+std::vector<Member> MemberTable::claimsToSend(std::size_t most)
 {
     std::vector<Entry*> fresh;
     for (auto& item : m_entries)
     {
-        if (item.second.told < tellLimit())
+        if (item.second.sendCount < sendLimit())
             fresh.push_back(&item.second);
     }
     std::sort(fresh.begin(), fresh.end(),
               [](const Entry* a, const Entry* b)
-              { return a->told != b->told ? a->told < b->told : a->member.name < b->member.name; });
+              { return a->sendCount != b->sendCount ? a->sendCount < b->sendCount : a->member.name < b->member.name; });
     std::vector<Member> claims;
     for (std::size_t i = 0; i < fresh.size() && i < most; ++i)
     {
-        ++fresh[i]->told;
+        ++fresh[i]->sendCount;
         claims.push_back(fresh[i]->member);
     }
     return claims;
@@ -234,7 +234,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void MemberTable::accept(const Member& claim, core::Timestamp now)
+void MemberTable::applyClaim(const Member& claim, core::Timestamp now)
 {
     const auto found = m_entries.find(claim.name);
     if (found == m_entries.end())
@@ -254,7 +254,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void MemberTable::deny(std::uint64_t incarnation, core::Timestamp now)
+void MemberTable::refute(std::uint64_t incarnation, core::Timestamp now)
 {
     m_self.incarnation = incarnation + 1;
     m_entries[m_self.name] = {m_self, now, 0};
@@ -262,9 +262,10 @@
 }
 
 ////////////////////////////////////////////////////////////
-unsigned MemberTable::tellLimit() const
+unsigned MemberTable::sendLimit() const
 {
-    return static_cast<unsigned>(std::ceil(m_settings.spread * std::log2(static_cast<double>(m_entries.size()) + 1.0)));
+    return static_cast<unsigned>(
+        std::ceil(m_settings.sendFactor * std::log2(static_cast<double>(m_entries.size()) + 1.0)));
 }
 
 } // namespace sailpath::membership
--- a/src/sailpath/node/Controller.cpp
+++ b/src/sailpath/node/Controller.cpp
@@ -101,7 +101,7 @@
         return;
     }
     m_unanswered.erase(std::string(peer));
-    m_members.unreachable(peer, now);
+    m_members.recordUnreachable(peer, now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -166,7 +166,7 @@
 void Controller::membersListed(std::span<const membership::Member> members, core::Timestamp now)
 {
     for (const membership::Member& member : members)
-        m_members.hint(member, now);
+        m_members.addListed(member, now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -226,7 +226,7 @@
     Digest digest;
     digest.from = m_members.self();
     digest.revision = m_configuration.revision();
-    digest.claims = m_members.claimsToTell(m_settings.mostClaims);
+    digest.claims = m_members.claimsToSend(m_settings.mostClaims);
     for (const bool leaving : {true, false})
     {
         for (auto& item : m_reports)
@@ -249,7 +249,7 @@
 ////////////////////////////////////////////////////////////
 bool Controller::hearDigest(const Digest& digest, core::Timestamp now, ControlActions& actions)
 {
-    const bool mustDeny = m_members.heard(digest.from, now);
+    const bool mustDeny = m_members.recordContact(digest.from, now);
     m_unanswered.erase(digest.from.name);
     m_members.merge(digest.claims, now);
     for (const ServerReport& report : digest.reports)
@@ -280,7 +280,7 @@
     bool news = false;
     for (const state::Document& document : documents)
     {
-        if (!m_configuration.offer(document))
+        if (!m_configuration.applyIfNewer(document))
             continue;
         news = true;
         putInForce(document, now, actions);
--- a/src/sailpath/node/Dispatcher.cpp
+++ b/src/sailpath/node/Dispatcher.cpp
@@ -107,7 +107,7 @@
         return step;
     }
     ++pool->counters().requests;
-    if (!m_shares.take(pool->workspace()))
+    if (!m_shares.acquire(pool->workspace()))
     {
         ++pool->counters().refused;
         step.refusal = refusal(RefusalReason::WorkspaceShare, retries::Ran::No, soon);
@@ -124,13 +124,13 @@
         return refuse(ticket, {RefusalReason::DeadlinePassed, retries::Ran::No, {}});
 
     // Requests that wait already go first, except that batch waits for interactive.
-    if (pool->queue().ahead(pending.priority) > 0)
+    if (pool->queue().countAhead(pending.priority) > 0)
         return holdOrRefuse(ticket, now);
     const priv::Chosen chosen = pool->choose(queryFor(pending, now), m_random);
     switch (chosen.failure)
     {
     case priv::ChoiceFailure::None:
-        pool->retryBudget().firstAttempt();
+        pool->retryBudget().recordFirstAttempt();
         return forward(ticket, chosen.server, now);
     case priv::ChoiceFailure::AllBusy:
         return holdOrRefuse(ticket, now);
@@ -300,7 +300,7 @@
 void Dispatcher::close(Ticket ticket)
 {
     Pending& pending = m_pending[ticket];
-    m_shares.give(pending.pool->workspace());
+    m_shares.release(pending.pool->workspace());
     pending.pool = nullptr;
     m_freeTickets.push_back(ticket);
 }
@@ -329,7 +329,7 @@
 {
     Pending&             pending = m_pending[ticket];
     priv::Pool&          pool = *pending.pool;
-    const core::Duration wait = pool.expectedWait(pool.queue().ahead(pending.priority));
+    const core::Duration wait = pool.expectedWait(pool.queue().countAhead(pending.priority));
     const core::Duration bearable = std::min(pool.bearableWait(now), pending.deadline - now - pool.usualLatency());
     if (wait > bearable)
         return refuse(ticket, refusal(RefusalReason::WaitTooLong, retries::Ran::No, wait));
@@ -420,7 +420,7 @@
         --m_held;
         if (chosen.failure == priv::ChoiceFailure::None)
         {
-            pool.retryBudget().firstAttempt();
+            pool.retryBudget().recordFirstAttempt();
             m_released.push_back(forward(ticket, chosen.server, now));
         }
         else
--- a/src/sailpath/node/Pool.cpp
+++ b/src/sailpath/node/Pool.cpp
@@ -136,10 +136,10 @@
         const Server& server = *m_servers[i];
         if (server.removed || i == query.excluded)
             continue;
-        const routing::Standing standing = server.health.standing(query.now);
-        if (standing == routing::Standing::Trial && trialAllowed(query))
+        const routing::Availability standing = server.health.availability(query.now);
+        if (standing == routing::Availability::Trial && trialAllowed(query))
             return {ChoiceFailure::None, i};
-        if (standing != routing::Standing::Healthy && standing != routing::Standing::Ramping)
+        if (standing != routing::Availability::Healthy && standing != routing::Availability::Ramping)
             continue;
         anyStanding = true;
         m_limitSum += limitOf(server, query.now);
@@ -161,9 +161,9 @@
 void Pool::sent(std::size_t server, core::Timestamp now)
 {
     Server& chosen = *m_servers[server];
-    if (chosen.health.standing(now) == routing::Standing::Trial)
-        chosen.health.trialSent();
-    chosen.load.sent(now);
+    if (chosen.health.availability(now) == routing::Availability::Trial)
+        chosen.health.recordTrialSent();
+    chosen.load.recordSent(now);
     ++m_ownInFlight;
     ++m_counters.attempts;
 }
@@ -172,12 +172,12 @@
 bool Pool::ended(std::size_t server, const Attempted& attempt, const Outcome& outcome, core::Timestamp now)
 {
     Server& there = *m_servers[server];
-    there.load.ended(attempt.sentAt);
+    there.load.recordEnded(attempt.sentAt);
     --m_ownInFlight;
     if (outcome.report)
         learnReport(there, *outcome.report, now);
     const bool spoke = outcome.report || outcome.draining;
-    const bool news = spoke && there.health.draining(outcome.draining, now);
+    const bool news = spoke && there.health.recordDraining(outcome.draining, now);
 
     switch (outcome.result)
     {
@@ -185,9 +185,9 @@
         learnAnswer(there, attempt, now);
         break;
     case retries::AttemptResult::Shed:
-        there.limit.shed(now);
+        there.limit.recordRejection(now);
         if (outcome.comeBack.count() > 0)
-            there.health.backOff(now + outcome.comeBack);
+            there.health.recordBackOff(now + outcome.comeBack);
         if (there.health.ejected())
             learnFailure(there, now);
         break;
@@ -197,7 +197,7 @@
         learnFailure(there, now);
         break;
     case retries::AttemptResult::Abandoned:
-        there.health.trialAbandoned();
+        there.health.recordTrialAbandoned();
         break;
     }
     return news;
@@ -209,7 +209,7 @@
     if (Server* known = findServer(server))
     {
         learnReport(*known, report, at);
-        (void)known->health.draining(draining, at);
+        (void)known->health.recordDraining(draining, at);
     }
 }
 
@@ -217,7 +217,7 @@
 void Pool::gone(std::string_view server, core::Timestamp now)
 {
     if (Server* known = findServer(server))
-        known->health.gone(now);
+        known->health.recordClosed(now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -239,7 +239,7 @@
     if (!m_settings.usePatience)
         return m_service.maxWait;
     m_patience.observe(m_queue.size() == 0, now);
-    return m_patience.longest(m_service.maxWait, usualLatency(), now);
+    return m_patience.maxWait(m_service.maxWait, usualLatency(), now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -356,7 +356,7 @@
 ////////////////////////////////////////////////////////////
 void Pool::learnReport(Server& server, routing::LoadReport report, core::Timestamp at)
 {
-    server.load.reported(report, at);
+    server.load.recordReport(report, at);
     if (const auto others = server.load.reportedOthers())
         m_meanOthers += reportGain * (*others - m_meanOthers);
 }
@@ -368,16 +368,16 @@
         server.load.resetWork();
     const core::Duration latency = now - attempt.sentAt;
     double&              usual = classWork(attempt.priority);
-    usual += workGain * (server.load.learn(latency, usual) - usual);
-    server.health.succeeded(now);
-    server.limit.answered(server.load.occupancy(now, m_meanOthers), server.load.ownInFlight(), now);
+    usual += workGain * (server.load.recordLatency(latency, usual) - usual);
+    server.health.recordSuccess(now);
+    server.limit.recordSuccess(server.load.occupancy(now, m_meanOthers), server.load.ownInFlight(), now);
     m_meanLatency += latencyGain * (core::toMilliseconds(latency) - m_meanLatency);
 }
 
 ////////////////////////////////////////////////////////////
 void Pool::learnFailure(Server& server, core::Timestamp now)
 {
-    if (server.health.failed(now, mayEject()))
+    if (server.health.recordFailure(now, mayEject()))
         ++m_counters.ejections;
 }
 
--- a/src/sailpath/node/Pool.hpp
+++ b/src/sailpath/node/Pool.hpp
@@ -3,7 +3,7 @@
 #include <sailpath/config/Service.hpp>
 #include <sailpath/core/Random.hpp>
 #include <sailpath/limits/ConcurrencyLimit.hpp>
-#include <sailpath/limits/WaitPatience.hpp>
+#include <sailpath/limits/QueueWaitLimit.hpp>
 #include <sailpath/limits/WaitQueue.hpp>
 #include <sailpath/node/DispatcherCounters.hpp>
 #include <sailpath/node/DispatcherSettings.hpp>
@@ -148,7 +148,7 @@
         for (const auto& server : m_servers)
         {
             if (!server->removed)
-                visit(server->target, server->health.standing(now));
+                visit(server->target, server->health.availability(now));
         }
     }
 
@@ -186,7 +186,7 @@
     std::vector<std::unique_ptr<Server>>   m_servers;              //!< Index is stable while requests are there
     std::unique_ptr<routing::ServerChoice> m_choice;               //!< Strategy
     limits::WaitQueue                      m_queue;                //!< Requests that wait
-    limits::WaitPatience                   m_patience;             //!< Shrinks while the queue stands
+    limits::QueueWaitLimit                 m_patience;             //!< Shrinks while the queue stands
     retries::RetryBudget                   m_retryBudget;          //!< Retries allowed
     DispatcherCounters                     m_counters;             //!< Since the start
     double                                 m_meanOthers{0};        //!< Others' requests a server, by recent reports
--- a/src/sailpath/node/Prober.cpp
+++ b/src/sailpath/node/Prober.cpp
@@ -74,7 +74,7 @@
 void Prober::tick(core::Timestamp now, ControlActions& actions)
 {
     const bool anyHeld = std::any_of(m_groups.begin(), m_groups.end(), [](const Group& group) { return group.held; });
-    if (anyHeld && !m_lease.valid(now))
+    if (anyHeld && !m_lease.isValid(now))
         dropAll();
     acquire(now, actions);
     renew(now, actions);
@@ -93,9 +93,9 @@
     if (answer.result == LeaseResult::Failed)
         return;
 
-    m_lease.granted(answer.lease, answer.length, answer.sentAt);
+    m_lease.recordGrant(answer.lease, answer.length, answer.sentAt);
     m_renewAt = answer.sentAt + answer.length / renewalsPerLease;
-    if (answer.renewal || answer.result != LeaseResult::Held || !m_lease.valid(now))
+    if (answer.renewal || answer.result != LeaseResult::Held || !m_lease.isValid(now))
         return;
     m_groups[answer.group].held = true;
     for (auto& item : m_measured)
@@ -124,13 +124,13 @@
 bool Prober::holds(std::string_view workspace, core::Timestamp now) const
 {
     const auto found = m_measured.find(workspace);
-    return found != m_measured.end() && m_groups[found->second.group].held && m_lease.valid(now);
+    return found != m_measured.end() && m_groups[found->second.group].held && m_lease.isValid(now);
 }
 
 ////////////////////////////////////////////////////////////
 void Prober::dropAll()
 {
-    m_lease.lost();
+    m_lease.recordLoss();
     for (Group& group : m_groups)
         group.held = false;
     for (auto& item : m_measured)
@@ -175,7 +175,7 @@
 ////////////////////////////////////////////////////////////
 void Prober::probe(core::Timestamp now, ControlActions& actions)
 {
-    if (!m_lease.valid(now))
+    if (!m_lease.isValid(now))
         return;
     for (auto& item : m_measured)
     {
--- a/src/sailpath/retries/RetryBudget.cpp
+++ b/src/sailpath/retries/RetryBudget.cpp
@@ -17,17 +17,17 @@
 }
 
 ////////////////////////////////////////////////////////////
-void RetryBudget::firstAttempt()
+void RetryBudget::recordFirstAttempt()
 {
-    m_saved = std::min(mostSaved, m_saved + m_share);
+    m_tokens = std::min(maxTokens, m_tokens + m_share);
 }
 
 ////////////////////////////////////////////////////////////
-bool RetryBudget::take()
+bool RetryBudget::tryConsume()
 {
-    if (m_saved < 1.0)
+    if (m_tokens < 1.0)
         return false;
-    m_saved -= 1.0;
+    m_tokens -= 1.0;
     return true;
 }
 
--- a/src/sailpath/retries/RetryPolicy.cpp
+++ b/src/sailpath/retries/RetryPolicy.cpp
@@ -5,7 +5,7 @@
 namespace
 {
 ////////////////////////////////////////////////////////////
-bool mayRunAgain(const AttemptRecord& record)
+bool isSafeToResend(const AttemptRecord& record)
 {
     if (record.result == AttemptResult::NotSent)
         return true;
@@ -19,11 +19,11 @@
 ////////////////////////////////////////////////////////////
 bool shouldRetry(const AttemptRecord& record, const config::RetryRule& rule, RetryBudget& budget)
 {
-    if (!mayRunAgain(record) || !record.bodyAtHand || record.retryForbidden)
+    if (!isSafeToResend(record) || !record.bodyReplayable || record.retryForbidden)
         return false;
     if (record.attempts >= rule.attempts || record.timeLeft <= record.expected)
         return false;
-    return budget.take();
+    return budget.tryConsume();
 }
 
 } // namespace sailpath::retries
--- a/src/sailpath/routing/BaselineChoices.cpp
+++ b/src/sailpath/routing/BaselineChoices.cpp
@@ -60,7 +60,7 @@
 ////////////////////////////////////////////////////////////
 std::size_t TwoReportedChoice::choose(std::span<const Candidate> candidates, core::Random& random)
 {
-    return betterOfTwo(candidates, random, [](const Candidate& candidate) { return candidate.reported; });
+    return betterOfTwo(candidates, random, [](const Candidate& candidate) { return candidate.reportedInFlight; });
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/routing/EstimatedFinishChoice.cpp
+++ b/src/sailpath/routing/EstimatedFinishChoice.cpp
@@ -15,7 +15,7 @@
     for (std::size_t draw = 1; draw < m_draws; ++draw)
     {
         const std::size_t other = random.below(candidates.size());
-        if (candidates[other].finish < candidates[best].finish)
+        if (candidates[other].finishMs < candidates[best].finishMs)
             best = other;
     }
     return best;
--- a/src/sailpath/routing/ServerHealth.cpp
+++ b/src/sailpath/routing/ServerHealth.cpp
@@ -18,7 +18,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServerHealth::succeeded(core::Timestamp now)
+void ServerHealth::recordSuccess(core::Timestamp now)
 {
     m_failures = 0;
     if (m_ejected)
@@ -33,7 +33,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool ServerHealth::failed(core::Timestamp now, bool mayEject)
+bool ServerHealth::recordFailure(core::Timestamp now, bool mayEject)
 {
     ++m_failures;
     const bool trialFailed = m_ejected && m_trialInFlight;
@@ -42,7 +42,7 @@
         return false;
 
     const auto doublings = std::min(m_ejections, mostDoublings);
-    m_ejectedUntil = now + std::min(m_settings.longestEjection, m_settings.firstEjection * (1 << doublings));
+    m_ejectedUntil = now + std::min(m_settings.maxEjection, m_settings.firstEjection * (1 << doublings));
     ++m_ejections;
     m_ejected = true;
     m_trialInFlight = false;
@@ -50,38 +50,38 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServerHealth::trialAbandoned()
+void ServerHealth::recordTrialAbandoned()
 {
     m_trialInFlight = false;
 }
 
 ////////////////////////////////////////////////////////////
-void ServerHealth::trialSent()
+void ServerHealth::recordTrialSent()
 {
     m_trialInFlight = true;
 }
 
 ////////////////////////////////////////////////////////////
-bool ServerHealth::draining(bool leaving, core::Timestamp at)
+bool ServerHealth::recordDraining(bool leaving, core::Timestamp at)
 {
     // News travels by several ways; what is older must not undo what is newer.
     if (at < m_drainHeardAt)
         return false;
     const bool news = leaving && at >= m_drainUntil;
     m_drainHeardAt = at;
-    m_drainUntil = leaving ? at + m_settings.drainMemory : core::Timestamp{};
+    m_drainUntil = leaving ? at + m_settings.drainTimeout : core::Timestamp{};
     return news;
 }
 
 ////////////////////////////////////////////////////////////
-void ServerHealth::backOff(core::Timestamp until)
+void ServerHealth::recordBackOff(core::Timestamp until)
 {
     m_backOffUntil = std::max(m_backOffUntil, until);
-    m_rampEnd = std::max(m_rampEnd, m_backOffUntil + m_settings.ramp);
+    m_rampEnd = std::max(m_rampEnd, m_backOffUntil + m_settings.rampDuration);
 }
 
 ////////////////////////////////////////////////////////////
-void ServerHealth::gone(core::Timestamp now)
+void ServerHealth::recordClosed(core::Timestamp now)
 {
     if (now >= m_drainUntil)
         return;
@@ -93,23 +93,23 @@
 }
 
 ////////////////////////////////////////////////////////////
-Standing ServerHealth::standing(core::Timestamp now) const
+Availability ServerHealth::availability(core::Timestamp now) const
 {
     if (now < m_drainUntil)
-        return Standing::Draining;
+        return Availability::Draining;
     if (now < m_backOffUntil)
-        return Standing::BackOff;
+        return Availability::BackOff;
     if (m_ejected)
-        return now < m_ejectedUntil || m_trialInFlight ? Standing::Ejected : Standing::Trial;
-    return now < m_rampEnd ? Standing::Ramping : Standing::Healthy;
+        return now < m_ejectedUntil || m_trialInFlight ? Availability::Ejected : Availability::Trial;
+    return now < m_rampEnd ? Availability::Ramping : Availability::Healthy;
 }
 
 ////////////////////////////////////////////////////////////
 double ServerHealth::share(core::Timestamp now) const
 {
-    if (now >= m_rampEnd || m_settings.ramp.count() == 0)
+    if (now >= m_rampEnd || m_settings.rampDuration.count() == 0)
         return 1.0;
-    const double left = core::toSeconds(m_rampEnd - now) / core::toSeconds(m_settings.ramp);
+    const double left = core::toSeconds(m_rampEnd - now) / core::toSeconds(m_settings.rampDuration);
     return std::clamp(1.0 - left, smallestShare, 1.0);
 }
 
@@ -122,7 +122,7 @@
 ////////////////////////////////////////////////////////////
 void ServerHealth::startRamp(core::Timestamp now)
 {
-    m_rampEnd = now + m_settings.ramp;
+    m_rampEnd = now + m_settings.rampDuration;
 }
 
 } // namespace sailpath::routing
--- a/src/sailpath/routing/ServerLoad.cpp
+++ b/src/sailpath/routing/ServerLoad.cpp
@@ -24,13 +24,13 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ServerLoad::sent(core::Timestamp now)
+void ServerLoad::recordSent(core::Timestamp now)
 {
     m_sentAt.push_back(now);
 }
 
 ////////////////////////////////////////////////////////////
-void ServerLoad::ended(core::Timestamp sentAt)
+void ServerLoad::recordEnded(core::Timestamp sentAt)
 {
     const auto found = std::find(m_sentAt.begin(), m_sentAt.end(), sentAt);
     assert(found != m_sentAt.end());
@@ -39,7 +39,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-double ServerLoad::learn(core::Duration latency, double expected)
+double ServerLoad::recordLatency(core::Duration latency, double expected)
 {
     // Waiting in the server's queue is not work: divide it out by the load
     // that was in front of the request.
@@ -48,15 +48,15 @@
     const double crowding = std::max(1.0, present / m_slots);
     const double sample = std::max(0.05, (core::toMilliseconds(latency) - m_roundTrip) / crowding);
     const double ratio = sample / expected;
-    m_recent += m_settings.recentGain * (ratio - m_recent);
-    m_usual += m_settings.workGain * (ratio - m_usual);
+    m_recent += m_settings.recentWorkWeight * (ratio - m_recent);
+    m_usual += m_settings.usualWorkWeight * (ratio - m_usual);
     // What was learned of a slow time must not outlast it.
-    m_usual = std::min(m_usual, m_recent * m_settings.peak);
+    m_usual = std::min(m_usual, m_recent * m_settings.peakRatio);
     return sample;
 }
 
 ////////////////////////////////////////////////////////////
-void ServerLoad::reported(LoadReport report, core::Timestamp at)
+void ServerLoad::recordReport(LoadReport report, core::Timestamp at)
 {
     if (m_report && m_report->at > at)
         return;
@@ -92,7 +92,7 @@
 double ServerLoad::workMilliseconds(core::Timestamp now, double work) const
 {
     // Single samples scatter too much to rank servers by; only a clear peak counts at once.
-    const double here = work * (m_recent > m_settings.peak * m_usual ? m_recent : m_usual);
+    const double here = work * (m_recent > m_settings.peakRatio * m_usual ? m_recent : m_usual);
     if (!m_settings.useOldestAge || m_sentAt.empty())
         return here;
     const double age = core::toMilliseconds(oldestAge(now));
--- a/src/sailpath/state/Backoff.cpp
+++ b/src/sailpath/state/Backoff.cpp
@@ -6,8 +6,8 @@
 {
 ////////////////////////////////////////////////////////////
 Backoff::Backoff(core::Duration first, core::Duration longest) :
-m_first(first),
-m_longest(longest),
+m_minWait(first),
+m_maxWait(longest),
 m_last(first)
 {
 }
@@ -15,9 +15,9 @@
 ////////////////////////////////////////////////////////////
 core::Duration Backoff::next(core::Random& random)
 {
-    const auto most = std::min(m_longest, m_last * 3);
-    const auto spread = static_cast<double>((most - m_first).count());
-    m_last = m_first + core::Duration{static_cast<std::int64_t>(spread * random.unit())};
+    const auto most = std::min(m_maxWait, m_last * 3);
+    const auto spread = static_cast<double>((most - m_minWait).count());
+    m_last = m_minWait + core::Duration{static_cast<std::int64_t>(spread * random.unit())};
     // Growth must not hinge on luck, so the next range grows at least by half.
     const core::Duration wait = m_last;
     m_last = std::max(m_last, most / 2);
@@ -27,7 +27,7 @@
 ////////////////////////////////////////////////////////////
 void Backoff::reset()
 {
-    m_last = m_first;
+    m_last = m_minWait;
 }
 
 } // namespace sailpath::state
--- a/src/sailpath/state/ConfigurationState.cpp
+++ b/src/sailpath/state/ConfigurationState.cpp
@@ -3,7 +3,7 @@
 namespace sailpath::state
 {
 ////////////////////////////////////////////////////////////
-bool ConfigurationState::offer(const Document& document)
+bool ConfigurationState::applyIfNewer(const Document& document)
 {
     auto found = m_documents.find(document.workspace);
     if (found != m_documents.end() && found->second.revision >= document.revision)
@@ -24,14 +24,14 @@
 }
 
 ////////////////////////////////////////////////////////////
-DocumentBatch ConfigurationState::since(std::uint64_t revision, std::size_t mostBytes) const
+DocumentBatch ConfigurationState::since(std::uint64_t revision, std::size_t maxBytes) const
 {
     DocumentBatch batch;
     std::size_t   bytes = 0;
     for (auto item = m_byRevision.upper_bound(revision); item != m_byRevision.end(); ++item)
     {
         const Document& document = m_documents.find(item->second)->second;
-        if (!batch.documents.empty() && bytes + document.text.size() > mostBytes)
+        if (!batch.documents.empty() && bytes + document.text.size() > maxBytes)
         {
             batch.more = true;
             break;
--- a/src/sailpath/state/HeldLease.cpp
+++ b/src/sailpath/state/HeldLease.cpp
@@ -3,7 +3,7 @@
 namespace sailpath::state
 {
 ////////////////////////////////////////////////////////////
-void HeldLease::granted(std::int64_t id, core::Duration length, core::Timestamp sentAt)
+void HeldLease::recordGrant(std::int64_t id, core::Duration length, core::Timestamp sentAt)
 {
     m_id = id;
     m_validUntil =
@@ -11,14 +11,14 @@
 }
 
 ////////////////////////////////////////////////////////////
-void HeldLease::lost()
+void HeldLease::recordLoss()
 {
     m_id = 0;
     m_validUntil = {};
 }
 
 ////////////////////////////////////////////////////////////
-bool HeldLease::valid(core::Timestamp now) const
+bool HeldLease::isValid(core::Timestamp now) const
 {
     return m_id != 0 && now < m_validUntil;
 }
@@ -26,7 +26,7 @@
 ////////////////////////////////////////////////////////////
 std::optional<std::int64_t> HeldLease::id(core::Timestamp now) const
 {
-    if (!valid(now))
+    if (!isValid(now))
         return std::nullopt;
     return m_id;
 }
--- a/test/limits/Limits.test.cpp
+++ b/test/limits/Limits.test.cpp
@@ -21,10 +21,10 @@
     limits::ConcurrencyLimit limit(3, 200, {});
     core::Timestamp          now = start;
     for (int i = 0; i < 200; ++i)
-        limit.answered(20.0, 1, now += 25ms);
+        limit.recordSuccess(20.0, 1, now += 25ms);
     BOOST_TEST(limit.value() == 0.1, boost::test_tools::tolerance(1e-9));
     for (int i = 0; i < 100; ++i)
-        limit.answered(1.0, 10, now += 1ms);
+        limit.recordSuccess(1.0, 10, now += 1ms);
     BOOST_TEST(limit.value() > 3.0);
 }
 
@@ -33,7 +33,7 @@
 {
     limits::ConcurrencyLimit limit(10, 200, {});
     for (int i = 0; i < 100; ++i)
-        limit.answered(1.0, 0, start);
+        limit.recordSuccess(1.0, 0, start);
     BOOST_TEST(limit.value() == 10.0);
 }
 
@@ -87,22 +87,22 @@
 {
     limits::WorkspaceShares shares(100);
     std::size_t             taken = 0;
-    while (shares.take("noisy"))
+    while (shares.acquire("noisy"))
         ++taken;
     BOOST_TEST(taken == 80U);
     std::size_t quiet = 0;
-    while (shares.take("quiet"))
+    while (shares.acquire("quiet"))
         ++quiet;
     BOOST_TEST(quiet >= 15U);
     for (std::size_t i = 0; i < taken; ++i)
-        shares.give("noisy");
-    BOOST_TEST(shares.heldInAll() == quiet);
+        shares.release("noisy");
+    BOOST_TEST(shares.totalHeld() == quiet);
 }
 
 ////////////////////////////////////////////////////////////
 BOOST_AUTO_TEST_CASE(theMeasuringBudgetIsACeiling)
 {
-    limits::MeasuringBudget budget(30, start);
+    limits::ProbeTimeBudget budget(30, start);
     BOOST_TEST(!budget.charge(6ms, start));
     double spent = 0;
     for (core::Timestamp now = start; now < start + 10s; now += 1ms)
@@ -116,7 +116,7 @@
 ////////////////////////////////////////////////////////////
 BOOST_AUTO_TEST_CASE(aBudgetOfZeroAllowsNoProbe)
 {
-    limits::MeasuringBudget budget(0, start);
+    limits::ProbeTimeBudget budget(0, start);
     BOOST_TEST(!budget.charge(6ms, start + 1h));
     BOOST_TEST(!budget.charge(0ms, start + 1h));
 }
@@ -124,15 +124,15 @@
 ////////////////////////////////////////////////////////////
 BOOST_AUTO_TEST_CASE(patienceShrinksWhileTheQueueStands)
 {
-    limits::WaitPatience patience;
-    core::Timestamp      now = start;
+    limits::QueueWaitLimit patience;
+    core::Timestamp        now = start;
     for (; now < start + 600ms; now += 10ms)
         patience.observe(false, now);
-    BOOST_TEST((patience.longest(250ms, 15ms, now) == 30ms));
+    BOOST_TEST((patience.maxWait(250ms, 15ms, now) == 30ms));
     patience.observe(true, now);
-    BOOST_TEST((patience.longest(250ms, 15ms, now) == 30ms));
+    BOOST_TEST((patience.maxWait(250ms, 15ms, now) == 30ms));
     patience.observe(true, now + 200ms);
-    BOOST_TEST((patience.longest(250ms, 15ms, now + 200ms) == 250ms));
+    BOOST_TEST((patience.maxWait(250ms, 15ms, now + 200ms) == 250ms));
 }
 
 ////////////////////////////////////////////////////////////
--- a/test/membership/MemberTable.test.cpp
+++ b/test/membership/MemberTable.test.cpp
@@ -38,8 +38,8 @@
 BOOST_AUTO_TEST_CASE(silenceLeadsFromSuspicionToDeath)
 {
     membership::MemberTable table(member("a", 1), {});
-    table.heard(member("b", 1), start);
-    table.unreachable("b", start);
+    table.recordContact(member("b", 1), start);
+    table.recordUnreachable("b", start);
     BOOST_TEST((statusOf(table, "b") == MemberStatus::Suspect));
     table.tick(start + 3s);
     BOOST_TEST((statusOf(table, "b") == MemberStatus::Suspect));
@@ -56,9 +56,9 @@
     table.merge(std::array{member("a", 5, MemberStatus::Suspect)}, start);
     BOOST_TEST(table.self().incarnation == 6U);
     membership::MemberTable other(member("b", 1), {});
-    other.heard(member("a", 5), start);
-    other.unreachable("a", start);
-    other.heard(table.self(), start + 1s);
+    other.recordContact(member("a", 5), start);
+    other.recordUnreachable("a", start);
+    other.recordContact(table.self(), start + 1s);
     BOOST_TEST((statusOf(other, "a") == MemberStatus::Alive));
 }
 
@@ -66,10 +66,10 @@
 BOOST_AUTO_TEST_CASE(olderClaimsChangeNothing)
 {
     membership::MemberTable table(member("a", 1), {});
-    table.heard(member("b", 7), start);
+    table.recordContact(member("b", 7), start);
     table.merge(std::array{member("b", 6, MemberStatus::Dead)}, start);
     BOOST_TEST((statusOf(table, "b") == MemberStatus::Alive));
-    table.hint(member("b", 100), start);
+    table.addListed(member("b", 100), start);
     BOOST_TEST(table.all().back().incarnation == 7U);
 }
 
@@ -78,7 +78,7 @@
 {
     core::Random            random(1);
     membership::MemberTable table(member("a", 1), {});
-    table.heard(member("b", 1), start);
+    table.recordContact(member("b", 1), start);
     table.merge(std::array{member("b", 2, MemberStatus::Leaving)}, start);
     BOOST_TEST(table.aliveNames().size() == 1U);
     BOOST_TEST(!table.nextPeer(random, start));
@@ -89,9 +89,9 @@
 {
     core::Random            random(1);
     membership::MemberTable table(member("a", 1), {});
-    table.heard(member("b", 1), start);
+    table.recordContact(member("b", 1), start);
     (void)table.nextPeer(random, start);
-    table.unreachable("b", start);
+    table.recordUnreachable("b", start);
     table.tick(start + 5s);
     BOOST_REQUIRE(table.nextPeer(random, start + 6s));
     BOOST_TEST(!table.nextPeer(random, start + 7s));
@@ -102,10 +102,10 @@
 BOOST_AUTO_TEST_CASE(claimsAreToldABoundedNumberOfTimes)
 {
     membership::MemberTable table(member("a", 1), {});
-    table.heard(member("b", 1), start);
+    table.recordContact(member("b", 1), start);
     int told = 0;
     for (int i = 0; i < 100; ++i)
-        told += static_cast<int>(table.claimsToTell(6).size());
+        told += static_cast<int>(table.claimsToSend(6).size());
     BOOST_TEST(told == 10); // Two claims, five times each
 }
 
--- a/test/node/Dispatcher.test.cpp
+++ b/test/node/Dispatcher.test.cpp
@@ -321,7 +321,7 @@
         dispatcher.configure(changed, now);
     }
     std::size_t servers = 0;
-    dispatcher.visitServers(now, [&](const auto&, routing::Standing) { ++servers; });
+    dispatcher.visitServers(now, [&](const auto&, routing::Availability) { ++servers; });
     BOOST_TEST(servers == 4U);
     BOOST_TEST(dispatcher.serverPlaces() == 4U);
 }
--- a/test/retries/RetryPolicy.test.cpp
+++ b/test/retries/RetryPolicy.test.cpp
@@ -54,7 +54,7 @@
     int                  allowed = 0;
     for (int i = 0; i < 10'000; ++i)
     {
-        budget.firstAttempt();
+        budget.recordFirstAttempt();
         allowed +=
             retries::shouldRetry({AttemptResult::Failed, true, true, false, 1, 1s, 1ms}, {2, 0.1}, budget) ? 1 : 0;
     }
--- a/test/routing/ServerLoad.test.cpp
+++ b/test/routing/ServerLoad.test.cpp
@@ -13,9 +13,9 @@
 ////////////////////////////////////////////////////////////
 void answerIn(routing::ServerLoad& load, core::Duration latency)
 {
-    load.sent(start);
-    load.ended(start);
-    (void)load.learn(latency, usualWork);
+    load.recordSent(start);
+    load.recordEnded(start);
+    (void)load.recordLatency(latency, usualWork);
 }
 
 } // namespace
@@ -27,7 +27,7 @@
 {
     routing::ServerLoad load(3, 0ms, {});
     BOOST_TEST(load.othersInFlight(start, 2.0) == 2.0);
-    load.reported({8}, start);
+    load.recordReport({8}, start);
     BOOST_TEST(load.othersInFlight(start, 2.0) == 8.0);
     BOOST_TEST(load.othersInFlight(start + 20ms, 2.0) == 5.0);
     BOOST_TEST(load.othersInFlight(start + 1s, 2.0) == 2.0, boost::test_tools::tolerance(1e-9));
@@ -37,8 +37,8 @@
 BOOST_AUTO_TEST_CASE(anOlderReportIsIgnored)
 {
     routing::ServerLoad load(3, 0ms, {});
-    load.reported({8}, start);
-    load.reported({0}, start - 1ms);
+    load.recordReport({8}, start);
+    load.recordReport({0}, start - 1ms);
     BOOST_TEST(load.othersInFlight(start, 2.0) == 8.0);
 }
 
@@ -46,9 +46,9 @@
 BOOST_AUTO_TEST_CASE(ownRequestsAreNotCountedTwice)
 {
     routing::ServerLoad load(3, 0ms, {});
-    load.sent(start);
-    load.sent(start);
-    load.reported({5}, start);
+    load.recordSent(start);
+    load.recordSent(start);
+    load.recordReport({5}, start);
     BOOST_TEST(load.occupancy(start, 0.0) == 5.0);
 }
 
@@ -73,7 +73,7 @@
     routing::ServerLoad load(3, 0ms, {});
     for (int i = 0; i < 50; ++i)
         answerIn(load, 10ms);
-    load.sent(start);
+    load.recordSent(start);
     BOOST_TEST(load.workMilliseconds(start + 20ms, usualWork) < 12.0);
     BOOST_TEST(load.workMilliseconds(start + 90ms, usualWork) == 90.0);
 }
--- a/test/state/State.test.cpp
+++ b/test/state/State.test.cpp
@@ -17,12 +17,12 @@
 BOOST_AUTO_TEST_CASE(configurationNeverGoesBack)
 {
     state::ConfigurationState configuration;
-    BOOST_TEST(configuration.offer({"a", "new", 7, false}));
-    BOOST_TEST(!configuration.offer({"a", "old", 6, false}));
-    BOOST_TEST(!configuration.offer({"a", "same", 7, false}));
+    BOOST_TEST(configuration.applyIfNewer({"a", "new", 7, false}));
+    BOOST_TEST(!configuration.applyIfNewer({"a", "old", 6, false}));
+    BOOST_TEST(!configuration.applyIfNewer({"a", "same", 7, false}));
     BOOST_TEST(configuration.find("a")->text == "new");
-    BOOST_TEST(configuration.offer({"a", "", 9, true}));
-    BOOST_TEST(!configuration.offer({"a", "new", 8, false}));
+    BOOST_TEST(configuration.applyIfNewer({"a", "", 9, true}));
+    BOOST_TEST(!configuration.applyIfNewer({"a", "new", 8, false}));
     BOOST_TEST(configuration.find("a")->deleted);
     BOOST_TEST(configuration.revision() == 9U);
 }
@@ -32,14 +32,14 @@
 {
     state::ConfigurationState full;
     for (std::uint64_t i = 1; i <= 50; ++i)
-        BOOST_TEST(full.offer({"w" + std::to_string(i % 20), std::string(100, 'x'), i, false}));
+        BOOST_TEST(full.applyIfNewer({"w" + std::to_string(i % 20), std::string(100, 'x'), i, false}));
     state::ConfigurationState empty;
     int                       batches = 0;
     for (bool more = true; more; ++batches)
     {
         const state::DocumentBatch batch = full.since(empty.revision(), 350);
         for (const state::Document& document : batch.documents)
-            (void)empty.offer(document);
+            (void)empty.applyIfNewer(document);
         more = batch.more;
     }
     BOOST_TEST(batches == 7);
@@ -52,14 +52,14 @@
 BOOST_AUTO_TEST_CASE(aHolderSeesItsLeaseEndBeforeTheStoreDoes)
 {
     state::HeldLease lease;
-    BOOST_TEST(!lease.valid(start));
-    lease.granted(4, 10s, start);
-    BOOST_TEST(lease.valid(start + 8s));
-    BOOST_TEST(!lease.valid(start + 9s));
+    BOOST_TEST(!lease.isValid(start));
+    lease.recordGrant(4, 10s, start);
+    BOOST_TEST(lease.isValid(start + 8s));
+    BOOST_TEST(!lease.isValid(start + 9s));
     BOOST_TEST(!lease.id(start + 1h));
-    lease.granted(4, 10s, start + 20s);
-    lease.lost();
-    BOOST_TEST(!lease.valid(start + 21s));
+    lease.recordGrant(4, 10s, start + 20s);
+    lease.recordLoss();
+    BOOST_TEST(!lease.isValid(start + 21s));
 }
 
 ////////////////////////////////////////////////////////////
