--- a/include/sailpath/limits/ConcurrencyLimit.hpp
+++ b/include/sailpath/limits/ConcurrencyLimit.hpp
@@ -5,63 +5,64 @@
 namespace sailpath::limits
 {
 ////////////////////////////////////////////////////////////
-/// \brief Constants of the adaptive limit
+/// \brief Parameters of the adaptive concurrency limit
 ////////////////////////////////////////////////////////////
 struct ConcurrencySettings
 {
-    double         minLimit{0.1};        //!< Smallest limit; fractions add up over a pool
-    double         overloadRatio{1.7};   //!< Requests a slot, of all nodes, above which to back off
-    double         decreaseFactor{0.85}; //!< Factor of a decrease
-    double         increaseStep{0.25};   //!< Growth per good answer at limit 1
-    core::Duration decreaseInterval{std::chrono::milliseconds{20}}; //!< Least time between two decreases
+    double         minLimit{0.1};        //!< Smallest limit; below 1, as the limits of a pool are summed
+    double         overloadRatio{1.7};   //!< Requests of all nodes per slot above which the limit decreases
+    double         decreaseFactor{0.85}; //!< Factor applied to the limit at a decrease
+    double         increaseStep{0.25};   //!< Increase per successful answer at a limit of 1
+    core::Duration decreaseInterval{std::chrono::milliseconds{20}}; //!< Minimum time between two decreases
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief How many requests one node keeps at one server; adapts to what the server bears
+/// \brief Adaptive limit of the requests that one node keeps in flight at one server
 ///
-/// Grows while answers come with little queueing, shrinks by a factor when
-/// the server is over-full or sheds load. May fall below one: the limits of
-/// a pool are added up, so that many nodes can share few slots.
+/// The limit grows while the server answers with little queueing and
+/// decreases by a factor when the server is overloaded or sheds load. The
+/// limit may fall below one: the limits of a pool are summed, so that many
+/// nodes can share few slots.
 ////////////////////////////////////////////////////////////
 class ConcurrencyLimit
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Start at the number of slots
+    /// \brief Create a limit that starts at the number of slots
     ///
-    /// \param slots    Requests the server works on at once
-    /// \param most     Largest limit, usually the server's connections
-    /// \param settings Constants
+    /// \param slots    Requests that the server processes concurrently
+    /// \param maxLimit Largest limit, usually the number of the server's connections
+    /// \param settings Parameters of the adaptation
     ////////////////////////////////////////////////////////////
-    ConcurrencyLimit(unsigned slots, unsigned most, ConcurrencySettings settings);
+    ConcurrencyLimit(unsigned slots, unsigned maxLimit, ConcurrencySettings settings);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Learn from a good answer
+    /// \brief Record a successful answer and adapt the limit
     ///
-    /// \param occupancy Estimated requests at the server, of all nodes
-    /// \param own       Own requests at the server when it answered
-    /// \param now       Current time
+    /// \param occupancy   Estimated requests of all nodes in flight at the server
+    /// \param ownInFlight Requests of this node in flight at the server when it answered
+    /// \param now         Current time
     ////////////////////////////////////////////////////////////
-    void recordSuccess(double occupancy, unsigned own, core::Timestamp now);
+    void recordSuccess(double occupancy, unsigned ownInFlight, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Learn that the server shed a request
+    /// \brief Record that the server shed a request, and decrease the limit
     ////////////////////////////////////////////////////////////
     void recordRejection(core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief The limit, a fraction of a request included
+    /// \brief Return the limit in requests, which may be fractional
     ////////////////////////////////////////////////////////////
     [[nodiscard]] double value() const;
 
 private:
     void decrease(core::Timestamp now);
 
-    double              m_slots;          //!< Requests worked on at once
-    double              m_most;           //!< Largest limit
-    ConcurrencySettings m_settings;       //!< Constants
-    double              m_limit;          //!< Current limit
-    core::Timestamp     m_nextDecrease{}; //!< No decrease before this
+    double              m_slots;          //!< Requests that the server processes concurrently
+    double              m_maxLimit;       //!< Largest limit
+    ConcurrencySettings m_settings;       //!< Parameters of the adaptation
+    double              m_limit;          //!< Current limit in requests
+    core::Timestamp     m_nextDecrease{}; //!< Earliest time of the next decrease
 };
 
 } // namespace sailpath::limits
--- a/include/sailpath/limits/QueueWaitLimit.hpp
+++ b/include/sailpath/limits/QueueWaitLimit.hpp
@@ -5,38 +5,42 @@
 namespace sailpath::limits
 {
 ////////////////////////////////////////////////////////////
-/// \brief How long a request may be let in to wait, by how long the queue has stood
+/// \brief Adaptive limit of the expected queueing time at which a request is still admitted
 ///
-/// A queue that forms and empties again absorbs a burst and is worth its
-/// wait. One that stands adds the same wait to every request and serves
-/// none the more, so it is kept short until it has gone (the insight of
-/// CoDel: Nichols and Jacobson, ACM Queue 10(5), 2012).
+/// A queue that forms and drains again absorbs a burst and justifies its
+/// waiting time. A standing queue adds the same wait to every request
+/// without increasing the throughput, so the limit is low until the queue
+/// has drained (after CoDel: Nichols and Jacobson, ACM Queue 10(5), 2012).
 ////////////////////////////////////////////////////////////
 class QueueWaitLimit
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Note whether the queue is empty
+    /// \brief Record whether the queue is empty
     ////////////////////////////////////////////////////////////
     void observe(bool empty, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Longest wait to let a request in for
+    /// \brief Return the longest expected wait at which a request is admitted
     ///
-    /// \param configured   Operators' bound
-    /// \param usualLatency Usual time from sending to the answer
+    /// \param configured   Configured upper bound
+    /// \param usualLatency Usual time from sending a request to its answer
     /// \param now          Current time
     ////////////////////////////////////////////////////////////
     [[nodiscard]] core::Duration maxWait(core::Duration configured, core::Duration usualLatency,
                                          core::Timestamp now) const;
 
 private:
-    static constexpr core::Duration standing = std::chrono::milliseconds{500}; //!< A queue this old stands
-    static constexpr core::Duration calm = std::chrono::milliseconds{100};    //!< Without a queue this long it has gone
-    static constexpr core::Duration shortest = std::chrono::milliseconds{20}; //!< Never less patient than this
+    static constexpr core::Duration standingAfter =
+        std::chrono::milliseconds{500}; //!< Age at which a queue counts as standing
+    static constexpr core::Duration drainedAfter =
+        std::chrono::milliseconds{100}; //!< Time without a queue after which it counts as drained
+    static constexpr core::Duration minWait =
+        std::chrono::milliseconds{20}; //!< Smallest limit, unless the configured bound is lower
 
-    core::Timestamp m_standsSince{core::Timestamp::max()}; //!< Start of the present queue; none at the maximum
-    core::Timestamp m_lastQueue{};                         //!< When there last was one
+    core::Timestamp m_queuedSince{
+        core::Timestamp::max()};      //!< Start of the present queue; the maximum when there is none
+    core::Timestamp m_lastQueuedAt{}; //!< Last time at which the queue was not empty
 };
 
 } // namespace sailpath::limits
--- a/include/sailpath/limits/RateLimit.hpp
+++ b/include/sailpath/limits/RateLimit.hpp
@@ -8,39 +8,39 @@
 namespace sailpath::limits
 {
 ////////////////////////////////////////////////////////////
-/// \brief Bounds how often each of many may do something
+/// \brief Rate limiter with one token bucket per key
 ////////////////////////////////////////////////////////////
 class RateLimit
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Create
+    /// \brief Create a limiter whose buckets are full
     ///
-    /// \param perSecond Rate allowed to each
-    /// \param burst     Number allowed at once
+    /// \param perSecond Uses per second allowed to each key
+    /// \param burst     Uses that a key may make at once
     ////////////////////////////////////////////////////////////
     RateLimit(double perSecond, double burst);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Count one use
+    /// \brief Consume one token of a key if there is one
     ///
-    /// \return Whether it is allowed
+    /// \return Whether the use is allowed
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] bool allow(std::string_view who, core::Timestamp now);
+    [[nodiscard]] bool allow(std::string_view key, core::Timestamp now);
 
 private:
-    struct Saved
+    struct TokenBucket
     {
-        double          uses; //!< Uses allowed at `at`
-        core::Timestamp at;   //!< Time of the last use
+        double          tokens;     //!< Uses allowed at `refilledAt`
+        core::Timestamp refilledAt; //!< Time of the last attempt to use the bucket
     };
 
-    void forgetIdle(core::Timestamp now);
+    void removeFullBuckets(core::Timestamp now);
 
-    double                 m_perSecond;    //!< Rate
-    double                 m_burst;        //!< Number at once
-    core::StringMap<Saved> m_saved;        //!< By name
-    core::Timestamp        m_nextForget{}; //!< Next clearing of names that are idle
+    double                       m_perSecond;     //!< Uses per second allowed to each key
+    double                       m_burst;         //!< Capacity of a bucket in uses
+    core::StringMap<TokenBucket> m_buckets;       //!< By key
+    core::Timestamp              m_nextCleanup{}; //!< Time of the next removal of idle buckets
 };
 
 } // namespace sailpath::limits
--- a/include/sailpath/limits/WorkspaceShares.hpp
+++ b/include/sailpath/limits/WorkspaceShares.hpp
@@ -7,52 +7,52 @@
 namespace sailpath::limits
 {
 ////////////////////////////////////////////////////////////
-/// \brief Divides one VM's places for requests among workspaces
+/// \brief Divides the request capacity of one VM among workspaces by dynamic thresholds
 ///
-/// A workspace may hold at most `eagerness` times the places that are still
-/// free. So one that floods the VM always leaves room for the next, no
-/// shares need be declared, and a lone workspace still gets most of it
-/// (dynamic thresholds: Choudhury and Hahne, IEEE/ACM Transactions on
-/// Networking 6(2), 1998).
+/// A workspace may hold at most `thresholdFactor` times the places that are
+/// still free. A workspace that floods the VM thus always leaves room for
+/// others, shares need no configuration, and a single active workspace can
+/// still use most of the capacity (dynamic thresholds: Choudhury and Hahne,
+/// IEEE/ACM Transactions on Networking 6(2), 1998).
 ////////////////////////////////////////////////////////////
 class WorkspaceShares
 {
 public:
-    static constexpr double eagerness = 4.0; //!< A lone workspace may hold 4/5 of the places
+    static constexpr double thresholdFactor = 4.0; //!< Lets a single active workspace hold 4/5 of the places
 
     ////////////////////////////////////////////////////////////
-    /// \brief Create with all places free
+    /// \brief Create the division with all places free
     ///
-    /// \param places Requests that the VM handles at once
+    /// \param places Requests that the VM handles concurrently
     ////////////////////////////////////////////////////////////
     explicit WorkspaceShares(std::size_t places);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Take a place
+    /// \brief Acquire a place for a request of a workspace
     ///
-    /// \return False when the workspace holds its share or no place is free
+    /// \return False when the workspace has reached its threshold or no place is free
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool acquire(std::string_view workspace);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Give a place back
+    /// \brief Release a place that the workspace has acquired
     ////////////////////////////////////////////////////////////
     void release(std::string_view workspace);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Places that a workspace holds
+    /// \brief Return the number of places that a workspace holds
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::size_t held(std::string_view workspace) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Places that are held in all
+    /// \brief Return the number of places that all workspaces hold
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::size_t totalHeld() const;
 
 private:
-    std::size_t                  m_places;      //!< Places in all
-    std::size_t                  m_held{0};     //!< Places held
-    core::StringMap<std::size_t> m_byWorkspace; //!< Places held by each
+    std::size_t                  m_places;      //!< Total number of places
+    std::size_t                  m_held{0};     //!< Places held by all workspaces
+    core::StringMap<std::size_t> m_byWorkspace; //!< Places held by each workspace
 };
 
 } // namespace sailpath::limits
--- a/src/sailpath/limits/ConcurrencyLimit.cpp
+++ b/src/sailpath/limits/ConcurrencyLimit.cpp
@@ -5,25 +5,25 @@
 namespace sailpath::limits
 {
 ////////////////////////////////////////////////////////////
-ConcurrencyLimit::ConcurrencyLimit(unsigned slots, unsigned most, ConcurrencySettings settings) :
+ConcurrencyLimit::ConcurrencyLimit(unsigned slots, unsigned maxLimit, ConcurrencySettings settings) :
 m_slots(slots),
-m_most(most),
+m_maxLimit(maxLimit),
 m_settings(settings),
 m_limit(slots)
 {
 }
 
 ////////////////////////////////////////////////////////////
-void ConcurrencyLimit::recordSuccess(double occupancy, unsigned own, core::Timestamp now)
+void ConcurrencyLimit::recordSuccess(double occupancy, unsigned ownInFlight, core::Timestamp now)
 {
     if (occupancy > m_settings.overloadRatio * m_slots)
     {
         decrease(now);
         return;
     }
-    // Grow only a limit that is in use, or it would grow without a reason.
-    if (own + 1.0 >= m_limit * 0.5)
-        m_limit = std::min(m_most, m_limit + m_settings.increaseStep / std::max(1.0, m_limit));
+    // Only a limit that is at least half used grows; answers say nothing about an unused one.
+    if (ownInFlight + 1.0 >= m_limit * 0.5)
+        m_limit = std::min(m_maxLimit, m_limit + m_settings.increaseStep / std::max(1.0, m_limit));
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/limits/ProbeTimeBudget.cpp
+++ b/src/sailpath/limits/ProbeTimeBudget.cpp
@@ -14,19 +14,19 @@
 ////////////////////////////////////////////////////////////
 bool ProbeTimeBudget::charge(core::Duration cost, core::Timestamp now)
 {
-    const double price = core::toMilliseconds(cost);
-    accrue(now, price);
-    if (m_saved < price || m_rate <= 0)
+    const double costMs = core::toMilliseconds(cost);
+    accrue(now, costMs);
+    if (m_balance < costMs || m_rate <= 0)
         return false;
-    m_saved -= price;
-    m_spent += price;
+    m_balance -= costMs;
+    m_spent += costMs;
     return true;
 }
 
 ////////////////////////////////////////////////////////////
 void ProbeTimeBudget::setRate(double rate, core::Timestamp now)
 {
-    accrue(now, std::max(m_saved, 0.0) + m_rate * core::toSeconds(now - m_accruedAt));
+    accrue(now, std::max(m_balance, 0.0) + m_rate * core::toSeconds(now - m_accruedAt));
     m_rate = rate;
 }
 
@@ -37,11 +37,11 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ProbeTimeBudget::accrue(core::Timestamp now, double most)
+void ProbeTimeBudget::accrue(core::Timestamp now, double maxBalance)
 {
     if (now > m_accruedAt)
-        m_saved += m_rate * core::toSeconds(now - m_accruedAt);
-    m_saved = std::min(m_saved, most);
+        m_balance += m_rate * core::toSeconds(now - m_accruedAt);
+    m_balance = std::min(m_balance, maxBalance);
     m_accruedAt = std::max(m_accruedAt, now);
 }
 
--- a/src/sailpath/limits/QueueWaitLimit.cpp
+++ b/src/sailpath/limits/QueueWaitLimit.cpp
@@ -6,31 +6,31 @@
 {
 namespace
 {
-constexpr int shortWaits = 2; // Usual latencies that a request may wait behind a standing queue
+constexpr int latenciesInStandingQueue = 2; // Admitted wait in a standing queue, in usual latencies
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
 void QueueWaitLimit::observe(bool empty, core::Timestamp now)
 {
-    const bool gone = now - m_lastQueue > calm;
+    const bool drained = now - m_lastQueuedAt > drainedAfter;
     if (!empty)
     {
-        if (gone || m_standsSince == core::Timestamp::max())
-            m_standsSince = now;
-        m_lastQueue = now;
+        if (drained || m_queuedSince == core::Timestamp::max())
+            m_queuedSince = now;
+        m_lastQueuedAt = now;
     }
-    else if (gone)
-        m_standsSince = core::Timestamp::max();
+    else if (drained)
+        m_queuedSince = core::Timestamp::max();
 }
 
 ////////////////////////////////////////////////////////////
 core::Duration QueueWaitLimit::maxWait(core::Duration configured, core::Duration usualLatency,
                                        core::Timestamp now) const
 {
-    if (m_standsSince == core::Timestamp::max() || now - m_standsSince < standing)
+    if (m_queuedSince == core::Timestamp::max() || now - m_queuedSince < standingAfter)
         return configured;
-    return std::min(configured, std::max(shortest, usualLatency * shortWaits));
+    return std::min(configured, std::max(minWait, usualLatency * latenciesInStandingQueue));
 }
 
 } // namespace sailpath::limits
--- a/src/sailpath/limits/RateLimit.cpp
+++ b/src/sailpath/limits/RateLimit.cpp
@@ -12,29 +12,29 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool RateLimit::allow(std::string_view who, core::Timestamp now)
+bool RateLimit::allow(std::string_view key, core::Timestamp now)
 {
-    forgetIdle(now);
-    auto found = m_saved.find(who);
-    if (found == m_saved.end())
-        found = m_saved.emplace(std::string(who), Saved{m_burst, now}).first;
-    Saved& saved = found->second;
-    saved.uses = std::min(m_burst, saved.uses + m_perSecond * core::toSeconds(now - saved.at));
-    saved.at = now;
-    if (saved.uses < 1.0)
+    removeFullBuckets(now);
+    auto found = m_buckets.find(key);
+    if (found == m_buckets.end())
+        found = m_buckets.emplace(std::string(key), TokenBucket{m_burst, now}).first;
+    TokenBucket& bucket = found->second;
+    bucket.tokens = std::min(m_burst, bucket.tokens + m_perSecond * core::toSeconds(now - bucket.refilledAt));
+    bucket.refilledAt = now;
+    if (bucket.tokens < 1.0)
         return false;
-    saved.uses -= 1.0;
+    bucket.tokens -= 1.0;
     return true;
 }
 
 ////////////////////////////////////////////////////////////
-void RateLimit::forgetIdle(core::Timestamp now)
+void RateLimit::removeFullBuckets(core::Timestamp now)
 {
-    if (now < m_nextForget)
+    if (now < m_nextCleanup)
         return;
-    const auto full = core::fromMilliseconds(1000.0 * m_burst / m_perSecond);
-    std::erase_if(m_saved, [&](const auto& item) { return now - item.second.at > full; });
-    m_nextForget = now + full;
+    const auto refillTime = core::fromMilliseconds(1000.0 * m_burst / m_perSecond);
+    std::erase_if(m_buckets, [&](const auto& item) { return now - item.second.refilledAt > refillTime; });
+    m_nextCleanup = now + refillTime;
 }
 
 } // namespace sailpath::limits
--- a/src/sailpath/limits/WaitQueue.cpp
+++ b/src/sailpath/limits/WaitQueue.cpp
@@ -74,11 +74,11 @@
     if (batchIsNext())
     {
         m_batch.pop_front();
-        m_turn = 0;
+        m_interactiveInRow = 0;
         return;
     }
     m_interactive.pop_front();
-    ++m_turn;
+    ++m_interactiveInRow;
 }
 
 ////////////////////////////////////////////////////////////
@@ -100,7 +100,7 @@
 {
     if (priority == config::Priority::Batch)
         return size();
-    return m_interactive.size() + std::min(m_batch.size(), m_interactive.size() / batchTurn);
+    return m_interactive.size() + std::min(m_batch.size(), m_interactive.size() / batchInterval);
 }
 
 ////////////////////////////////////////////////////////////
@@ -114,7 +114,7 @@
 {
     if (m_batch.empty())
         return false;
-    return m_interactive.empty() || m_turn + 1 >= batchTurn;
+    return m_interactive.empty() || m_interactiveInRow + 1 >= batchInterval;
 }
 
 } // namespace sailpath::limits
--- a/src/sailpath/limits/WorkspaceShares.cpp
+++ b/src/sailpath/limits/WorkspaceShares.cpp
@@ -15,8 +15,8 @@
 {
     const std::size_t free = m_places - m_held;
     auto              found = m_byWorkspace.find(workspace);
-    const std::size_t holds = found == m_byWorkspace.end() ? 0 : found->second;
-    if (free == 0 || static_cast<double>(holds) >= eagerness * static_cast<double>(free))
+    const std::size_t held = found == m_byWorkspace.end() ? 0 : found->second;
+    if (free == 0 || static_cast<double>(held) >= thresholdFactor * static_cast<double>(free))
         return false;
 
     if (found == m_byWorkspace.end())
--- a/test/limits/Limits.test.cpp
+++ b/test/limits/Limits.test.cpp
@@ -16,7 +16,7 @@
 BOOST_AUTO_TEST_SUITE(Limits)
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(concurrencyFallsBelowOneAndRecovers)
+BOOST_AUTO_TEST_CASE(concurrencyLimitFallsBelowOneAndRecovers)
 {
     limits::ConcurrencyLimit limit(3, 200, {});
     core::Timestamp          now = start;
@@ -29,7 +29,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(concurrencyDoesNotGrowUnused)
+BOOST_AUTO_TEST_CASE(unusedConcurrencyLimitDoesNotGrow)
 {
     limits::ConcurrencyLimit limit(10, 200, {});
     for (int i = 0; i < 100; ++i)
@@ -45,17 +45,17 @@
     for (std::uint32_t i = 0; i < 20; ++i)
         BOOST_TEST(queue.push({i, Priority::Interactive, start, start + 1s}, displaced));
     BOOST_TEST(queue.push({100, Priority::Batch, start, start + 1s}, displaced));
-    int turn = 0;
+    int served = 0;
     while (queue.front()->ticket != 100)
     {
         queue.pop();
-        ++turn;
+        ++served;
     }
-    BOOST_TEST(turn == 7);
+    BOOST_TEST(served == 7);
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aFullQueueGivesUpTheYoungestBatchRequest)
+BOOST_AUTO_TEST_CASE(aFullQueueDisplacesTheNewestBatchRequest)
 {
     limits::WaitQueue             queue(2);
     std::optional<WaitingRequest> displaced;
@@ -100,7 +100,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(theMeasuringBudgetIsACeiling)
+BOOST_AUTO_TEST_CASE(probesNeverExceedTheProbeTimeBudget)
 {
     limits::ProbeTimeBudget budget(30, start);
     BOOST_TEST(!budget.charge(6ms, start));
@@ -122,21 +122,21 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(patienceShrinksWhileTheQueueStands)
+BOOST_AUTO_TEST_CASE(waitLimitIsLowWhileTheQueueStands)
 {
-    limits::QueueWaitLimit patience;
+    limits::QueueWaitLimit limit;
     core::Timestamp        now = start;
     for (; now < start + 600ms; now += 10ms)
-        patience.observe(false, now);
-    BOOST_TEST((patience.maxWait(250ms, 15ms, now) == 30ms));
-    patience.observe(true, now);
-    BOOST_TEST((patience.maxWait(250ms, 15ms, now) == 30ms));
-    patience.observe(true, now + 200ms);
-    BOOST_TEST((patience.maxWait(250ms, 15ms, now + 200ms) == 250ms));
+        limit.observe(false, now);
+    BOOST_TEST((limit.maxWait(250ms, 15ms, now) == 30ms));
+    limit.observe(true, now);
+    BOOST_TEST((limit.maxWait(250ms, 15ms, now) == 30ms));
+    limit.observe(true, now + 200ms);
+    BOOST_TEST((limit.maxWait(250ms, 15ms, now + 200ms) == 250ms));
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(theRateLimitKeepsNamesApart)
+BOOST_AUTO_TEST_CASE(rateLimitsOfKeysAreIndependent)
 {
     limits::RateLimit rate(1, 2);
     BOOST_TEST(rate.allow("a", start));
