--- a/include/sailpath/routing/BaselineChoices.hpp
+++ b/include/sailpath/routing/BaselineChoices.hpp
@@ -5,7 +5,7 @@
 namespace sailpath::routing
 {
 ////////////////////////////////////////////////////////////
-/// \brief Baseline: any candidate, with equal odds
+/// \brief Baseline strategy: chooses a candidate at random, each with the same probability
 ////////////////////////////////////////////////////////////
 class RandomChoice : public ServerChoice
 {
@@ -17,7 +17,7 @@
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Baseline: the candidates in turn
+/// \brief Baseline strategy: chooses the candidates in rotation
 ////////////////////////////////////////////////////////////
 class RoundRobinChoice : public ServerChoice
 {
@@ -28,11 +28,11 @@
     [[nodiscard]] std::size_t choose(std::span<const Candidate> candidates, core::Random& random) override;
 
 private:
-    std::size_t m_last{0}; //!< Server chosen last
+    std::size_t m_lastServer{0}; //!< Pool index of the server chosen last
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Baseline: fewest own requests in flight, ties at random
+/// \brief Baseline strategy: chooses the candidate with the fewest own requests in flight, ties at random
 ////////////////////////////////////////////////////////////
 class LeastOwnChoice : public ServerChoice
 {
@@ -44,7 +44,7 @@
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Baseline: the better of two random candidates by own requests in flight
+/// \brief Baseline strategy: chooses the one of two random candidates with fewer own requests in flight
 ////////////////////////////////////////////////////////////
 class TwoOwnChoice : public ServerChoice
 {
@@ -56,7 +56,9 @@
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Baseline: the better of two random candidates by their last report, as with asynchronous probes
+/// \brief Baseline strategy: chooses the one of two random candidates with the lower last reported load
+///
+/// Models balancers that probe servers asynchronously.
 ////////////////////////////////////////////////////////////
 class TwoReportedChoice : public ServerChoice
 {
--- a/include/sailpath/routing/Candidate.hpp
+++ b/include/sailpath/routing/Candidate.hpp
@@ -5,14 +5,15 @@
 namespace sailpath::routing
 {
 ////////////////////////////////////////////////////////////
-/// \brief A server that may be given the request at hand
+/// \brief A server that may receive the request being routed
 ////////////////////////////////////////////////////////////
 struct Candidate
 {
-    std::size_t server{0};           //!< Index in the pool
-    double      finishMs{0};         //!< Estimated milliseconds until its answer
-    unsigned    ownInFlight{0};      //!< Requests this node has there
-    double      reportedInFlight{0}; //!< In flight by the last report, unaged; 0 before the first
+    std::size_t server{0};      //!< Index of the server in the pool
+    double      finishMs{0};    //!< Estimated time until the server's answer, in milliseconds
+    unsigned    ownInFlight{0}; //!< Requests of this node in flight at the server
+    double      reportedInFlight{
+        0}; //!< Requests in flight by the last report, not discounted by its age; 0 before the first report
 };
 
 } // namespace sailpath::routing
--- a/include/sailpath/routing/EstimatedFinishChoice.hpp
+++ b/include/sailpath/routing/EstimatedFinishChoice.hpp
@@ -5,10 +5,10 @@
 namespace sailpath::routing
 {
 ////////////////////////////////////////////////////////////
-/// \brief The product's strategy: the earliest estimated finish among a few random candidates
+/// \brief Default strategy: chooses the earliest estimated finish among a few random candidates
 ///
-/// Taking the best of all would send every node to the same server, since
-/// all of them see the same stale reports.
+/// Choosing the best of all candidates would send the requests of every node
+/// to the same server, since all nodes see the same stale reports.
 ////////////////////////////////////////////////////////////
 class EstimatedFinishChoice : public ServerChoice
 {
@@ -16,9 +16,9 @@
     ////////////////////////////////////////////////////////////
     /// \brief Create the strategy
     ///
-    /// \param draws Random candidates compared for each choice
+    /// \param sampleSize Number of random candidates compared for each choice
     ////////////////////////////////////////////////////////////
-    explicit EstimatedFinishChoice(std::size_t draws);
+    explicit EstimatedFinishChoice(std::size_t sampleSize);
 
     ////////////////////////////////////////////////////////////
     /// \copydoc ServerChoice::choose
@@ -26,7 +26,7 @@
     [[nodiscard]] std::size_t choose(std::span<const Candidate> candidates, core::Random& random) override;
 
 private:
-    std::size_t m_draws; //!< Candidates compared
+    std::size_t m_sampleSize; //!< Number of random candidates compared for each choice
 };
 
 } // namespace sailpath::routing
--- a/include/sailpath/routing/LoadReport.hpp
+++ b/include/sailpath/routing/LoadReport.hpp
@@ -5,11 +5,11 @@
 namespace sailpath::routing
 {
 ////////////////////////////////////////////////////////////
-/// \brief What a backend server says of its own load; always stale, sometimes wrong
+/// \brief Load that a backend server reports for itself; always stale and sometimes wrong
 ////////////////////////////////////////////////////////////
 struct LoadReport
 {
-    unsigned inFlight{0}; //!< Requests it holds from all callers, waiting ones included
+    unsigned inFlight{0}; //!< Requests from all callers at the server, including those that wait in its queue
 };
 
 } // namespace sailpath::routing
--- a/include/sailpath/routing/LoadSettings.hpp
+++ b/include/sailpath/routing/LoadSettings.hpp
@@ -5,16 +5,17 @@
 namespace sailpath::routing
 {
 ////////////////////////////////////////////////////////////
-/// \brief Constants of the load view; the defaults are the measured ones
+/// \brief Parameters of the load estimate
 ////////////////////////////////////////////////////////////
 struct LoadSettings
 {
-    double         usualWorkWeight{0.03}; //!< Share of a new sample in the usual work
-    double         recentWorkWeight{0.3}; //!< The same for the recent work, which shows peaks
-    double         peakRatio{2.5};        //!< Recent work counts in place of the usual when it is so many times as long
-    core::Duration reportHalfLife{std::chrono::milliseconds{20}}; //!< Age at which a report counts half
-    bool           useReports{true};                              //!< Whether load reports count at all
-    bool           useOldestAge{true}; //!< Whether unanswered requests count before their answer
+    double usualWorkWeight{0.03}; //!< Weight of a new sample in the moving average of the usual work
+    double recentWorkWeight{
+        0.3}; //!< Weight of a new sample in the moving average of the recent work, which shows peaks
+    double         peakRatio{2.5}; //!< Ratio of recent to usual work above which the recent work is used
+    core::Duration reportHalfLife{std::chrono::milliseconds{20}}; //!< Age at which the weight of a report is one half
+    bool           useReports{true};                              //!< Whether the estimate uses load reports
+    bool           useOldestAge{true}; //!< Whether the estimate uses the age of unanswered requests
 };
 
 } // namespace sailpath::routing
--- a/include/sailpath/routing/ServerChoice.hpp
+++ b/include/sailpath/routing/ServerChoice.hpp
@@ -12,7 +12,7 @@
 namespace sailpath::routing
 {
 ////////////////////////////////////////////////////////////
-/// \brief Strategy: which of the candidates gets the request
+/// \brief Strategy that chooses the candidate that receives a request
 ////////////////////////////////////////////////////////////
 class ServerChoice
 {
@@ -22,7 +22,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Choose one candidate
     ///
-    /// \param candidates Servers that may be chosen, at least one
+    /// \param candidates Servers that may be chosen; at least one
     /// \param random     Source of randomness
     ///
     /// \return Position within `candidates`
@@ -31,12 +31,12 @@
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Make a strategy by name
+/// \brief Create a strategy by name
 ///
-/// \param name `estimated-finish` (the product's), `random`, `round-robin`,
+/// \param name `estimated-finish` (the default), `random`, `round-robin`,
 ///             `least-own`, `two-own` or `two-reported` (baselines)
 ///
-/// \return Nothing when there is no strategy of that name
+/// \return Null when no strategy has this name
 ////////////////////////////////////////////////////////////
 [[nodiscard]] std::unique_ptr<ServerChoice> makeServerChoice(std::string_view name);
 
--- a/include/sailpath/routing/ServerHealth.hpp
+++ b/include/sailpath/routing/ServerHealth.hpp
@@ -5,122 +5,125 @@
 namespace sailpath::routing
 {
 ////////////////////////////////////////////////////////////
-/// \brief What a server may be given at present
+/// \brief Which requests a server may receive at present
 ////////////////////////////////////////////////////////////
 enum class Availability
 {
-    Healthy, //!< Any request
-    Ramping, //!< A growing share, as it may be cold
-    Trial,   //!< One request, to see whether it works again
-    Ejected, //!< Nothing
-    BackOff, //!< Nothing, it asked for that
-    Draining //!< Nothing, it is leaving
+    Healthy, //!< May receive any request
+    Ramping, //!< May receive a growing share of requests, as it may still be cold
+    Trial,   //!< May receive one trial request that shows whether it works again
+    Ejected, //!< Receives no requests after failures in a row
+    BackOff, //!< Receives no requests because it asked for a pause
+    Draining //!< Receives no requests because it is leaving
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Constants of ejection and return
+/// \brief Parameters of the ejection and return of servers
 ////////////////////////////////////////////////////////////
 struct HealthSettings
 {
-    unsigned       failuresToEject{3};                            //!< Failures in a row
-    core::Duration firstEjection{std::chrono::milliseconds{500}}; //!< Length of the first ejection; doubles
-    core::Duration maxEjection{std::chrono::seconds{8}};          //!< Longest ejection
-    core::Duration rampDuration{std::chrono::seconds{2}};         //!< Time from return to a full share
-    core::Duration drainTimeout{std::chrono::minutes{10}}; //!< Draining is believed this long after it was last said
+    unsigned       failuresToEject{3}; //!< Failures in a row that eject a server
+    core::Duration firstEjection{
+        std::chrono::milliseconds{500}}; //!< Length of the first ejection; doubles with each further one
+    core::Duration maxEjection{std::chrono::seconds{8}};  //!< Longest ejection
+    core::Duration rampDuration{std::chrono::seconds{2}}; //!< Time from the return of a server to its full share
+    core::Duration drainTimeout{
+        std::chrono::minutes{10}}; //!< Time after the last notice of draining at which the notice expires
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief One node's judgement of whether a server works
+/// \brief Passive health check of one server by one node
 ///
-/// Failures in a row eject it; after a while one trial request decides
-/// whether it returns, and then its share grows over a ramp.
+/// Failures in a row eject the server. When the ejection ends, one trial
+/// request decides whether the server returns; its share of requests then
+/// grows over a ramp.
 ////////////////////////////////////////////////////////////
 class ServerHealth
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Create the judgement of a server assumed to work
+    /// \brief Create the health state of a server that is assumed to work
     ///
-    /// \param settings Constants
+    /// \param settings Parameters of ejection and return
     ////////////////////////////////////////////////////////////
     explicit ServerHealth(HealthSettings settings);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note a good answer
+    /// \brief Record a successful answer
     ////////////////////////////////////////////////////////////
     void recordSuccess(core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note a failure
+    /// \brief Record a failed request
     ///
-    /// \param now       Current time
-    /// \param mayEject  Whether the pool allows one more ejection
+    /// \param now      Current time
+    /// \param mayEject Whether the pool allows one more ejection
     ///
-    /// \return Whether the server was ejected by this
+    /// \return Whether this failure ejected the server
     ////////////////////////////////////////////////////////////
     bool recordFailure(core::Timestamp now, bool mayEject);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note that a trial ended without a verdict, as when its caller hung up
+    /// \brief Record that a trial ended without a result, for example because its caller disconnected
     ////////////////////////////////////////////////////////////
     void recordTrialAbandoned();
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note that a trial request was sent
+    /// \brief Record that a trial request was sent
     ////////////////////////////////////////////////////////////
     void recordTrialSent();
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note whether the server says that it is leaving
+    /// \brief Record a notice by the server that it is leaving or that it is not
     ///
-    /// \param leaving What it says
-    /// \param at      When it said so; older news is ignored
+    /// \param leaving Whether the server is leaving
+    /// \param at      Time of the notice; notices older than the last one are ignored
     ///
-    /// \return Whether it was not believed to be leaving before
+    /// \return Whether the server became draining by this notice
     ////////////////////////////////////////////////////////////
     bool recordDraining(bool leaving, core::Timestamp at);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note that the server asked this node for no requests until a time; the latest holds
+    /// \brief Record that the server asked this node to send no requests until a time; the latest time counts
     ////////////////////////////////////////////////////////////
     void recordBackOff(core::Timestamp until);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note that a server that was leaving has closed its connections; trials tell when it is back
+    /// \brief Record that a draining server has closed its connections; trial requests detect its return
     ////////////////////////////////////////////////////////////
     void recordClosed(core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief What the server may be given
+    /// \brief Return which requests the server may receive
     ////////////////////////////////////////////////////////////
     [[nodiscard]] Availability availability(core::Timestamp now) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Share of its normal load that it should get, in (0, 1]
+    /// \brief Return the share of its normal load that the server should receive, in (0, 1]
     ////////////////////////////////////////////////////////////
     [[nodiscard]] double share(core::Timestamp now) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Whether it is ejected or waiting for the verdict of a trial
+    /// \brief Return whether the server is ejected or in trial
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool ejected() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Start the ramp, as for a server that was just declared
+    /// \brief Start the ramp, for example for a newly configured server
     ////////////////////////////////////////////////////////////
     void startRamp(core::Timestamp now);
 
 private:
-    HealthSettings  m_settings;             //!< Constants
-    unsigned        m_failures{0};          //!< Failures in a row
-    unsigned        m_ejections{0};         //!< Ejections since it last worked for a whole ramp
-    bool            m_ejected{false};       //!< Ejected and no good trial yet
-    bool            m_trialInFlight{false}; //!< A trial was sent
-    core::Timestamp m_ejectedUntil{};       //!< No trial before this
-    core::Timestamp m_rampEnd{};            //!< Full share from here on
-    core::Timestamp m_drainUntil{};         //!< Believed to be leaving until then
-    core::Timestamp m_backOffUntil{};       //!< It asked for nothing before
-    core::Timestamp m_drainHeardAt{};       //!< When it was last said whether it is leaving
+    HealthSettings  m_settings;             //!< Parameters of ejection and return
+    unsigned        m_failures{0};          //!< Failures in a row up to now
+    unsigned        m_ejections{0};         //!< Ejections since the server last worked for a whole ramp
+    bool            m_ejected{false};       //!< Whether the server is ejected and no trial has succeeded since
+    bool            m_trialInFlight{false}; //!< Whether a trial request is in flight
+    core::Timestamp m_ejectedUntil{};       //!< Earliest time of the next trial
+    core::Timestamp m_rampEnd{};            //!< Time from which the server receives its full share
+    core::Timestamp m_drainUntil{};         //!< Time until which the server counts as draining
+    core::Timestamp m_backOffUntil{};       //!< Time until which the server asked for no requests
+    core::Timestamp m_drainNoticeAt{};      //!< Time of the last notice whether the server is leaving
 };
 
 } // namespace sailpath::routing
--- a/include/sailpath/routing/ServerLoad.hpp
+++ b/include/sailpath/routing/ServerLoad.hpp
@@ -10,126 +10,126 @@
 namespace sailpath::routing
 {
 ////////////////////////////////////////////////////////////
-/// \brief One node's view of the load of one backend server
+/// \brief One node's estimate of the load of one backend server
 ///
-/// Combines what the node knows for certain (its own requests in flight)
-/// with what it only hears (reports, aged) and what it infers (the work per
-/// request from latencies, the age of requests not answered yet).
+/// Combines the exact number of the node's own requests in flight with load
+/// reports, discounted by age, and with inferred values: the work per
+/// request, from latencies, and the age of unanswered requests.
 ////////////////////////////////////////////////////////////
 class ServerLoad
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Create the view of a server nothing is known of
+    /// \brief Create the estimate for a server without any observations
     ///
-    /// \param slots     Requests the server works on at once
-    /// \param roundTrip Network time to the server and back
-    /// \param settings  Constants
+    /// \param slots     Requests that the server processes concurrently
+    /// \param roundTrip Network round-trip time to the server
+    /// \param settings  Parameters of the estimate
     ////////////////////////////////////////////////////////////
     ServerLoad(unsigned slots, core::Duration roundTrip, LoadSettings settings);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note that a request was sent
+    /// \brief Record that a request was sent
     ////////////////////////////////////////////////////////////
     void recordSent(core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note that a request ended, whatever its outcome
+    /// \brief Record that a request ended, whatever its outcome
     ///
-    /// \param sentAt Time given to `sent` for this request
+    /// \param sentAt Time passed to `recordSent` for this request
     ////////////////////////////////////////////////////////////
     void recordEnded(core::Timestamp sentAt);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Learn from a good answer
+    /// \brief Update the estimated work with the latency of a successful answer
     ///
-    /// Answers that report an error must not be passed: a server that fails
-    /// fast would look quick.
+    /// The latency of an error answer must not be recorded: a server that fails
+    /// fast would appear to be fast.
     ///
-    /// \param latency  Time from sending to the whole answer
-    /// \param expected Work that such a request usually is in the pool, milliseconds
+    /// \param latency  Time from sending the request to the end of its answer
+    /// \param expected Usual work of such a request in the pool, in milliseconds
     ///
-    /// \return The request's work without network and waiting, milliseconds
+    /// \return Estimated work of the request without network and queueing time, in milliseconds
     ////////////////////////////////////////////////////////////
     double recordLatency(core::Duration latency, double expected);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note a report, which replaces an older one
+    /// \brief Record a load report, which replaces an older one
     ///
-    /// \param report What the server said
-    /// \param at     Time to which the report belongs
+    /// \param report Load that the server reported
+    /// \param at     Time at which the report was made
     ////////////////////////////////////////////////////////////
     void recordReport(LoadReport report, core::Timestamp at);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Own requests in flight
+    /// \brief Return the number of own requests in flight
     ////////////////////////////////////////////////////////////
     [[nodiscard]] unsigned ownInFlight() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Estimated requests in flight of other nodes
+    /// \brief Estimate the requests of other nodes in flight
     ///
     /// \param now      Current time
-    /// \param expected Value to fall back to as the report ages
+    /// \param expected Value that the estimate approaches as the report ages
     ////////////////////////////////////////////////////////////
     [[nodiscard]] double othersInFlight(core::Timestamp now, double expected) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Others' requests as of the last report, unaged; nothing before the first
+    /// \brief Return the requests of other nodes by the last report, not discounted by its age; empty before the first
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::optional<double> reportedOthers() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Estimated time that a request takes when it need not wait, in milliseconds
+    /// \brief Estimate the time in milliseconds that the server takes for a request without queueing
     ///
-    /// \param now  Current time, for the age of unanswered requests
-    /// \param work Work that such a request usually is in the pool, milliseconds
+    /// \param now  Current time, from which the age of unanswered requests is computed
+    /// \param work Usual work of such a request in the pool, in milliseconds
     ////////////////////////////////////////////////////////////
     [[nodiscard]] double workMilliseconds(core::Timestamp now, double work) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Estimated milliseconds until a request sent now is answered
+    /// \brief Estimate the time in milliseconds until a request sent now is answered
     ///
     /// \param now            Current time
-    /// \param expectedOthers Others' requests in flight when no fresh report says
-    /// \param work           Work that such a request usually is in the pool, milliseconds
+    /// \param expectedOthers Requests of other nodes in flight, used in the absence of a fresh report
+    /// \param work           Usual work of such a request in the pool, in milliseconds
     ////////////////////////////////////////////////////////////
     [[nodiscard]] double finishMilliseconds(core::Timestamp now, double expectedOthers, double work) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Estimated requests in flight of all nodes
+    /// \brief Estimate the requests of all nodes in flight
     ////////////////////////////////////////////////////////////
     [[nodiscard]] double occupancy(core::Timestamp now, double expectedOthers) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Requests the server works on at once
+    /// \brief Return the number of requests that the server processes concurrently
     ////////////////////////////////////////////////////////////
     [[nodiscard]] unsigned slots() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Forget learned work, as after a restart of the server
+    /// \brief Reset the estimated work, for example after a restart of the server
     ////////////////////////////////////////////////////////////
     void resetWork();
 
 private:
     ////////////////////////////////////////////////////////////
-    /// \brief Age of the oldest request not answered yet
+    /// \brief Return the age of the oldest unanswered request; at least one must be in flight
     ////////////////////////////////////////////////////////////
     [[nodiscard]] core::Duration oldestAge(core::Timestamp now) const;
 
     struct StoredReport
     {
-        double          others; //!< Requests of others
-        core::Timestamp at;     //!< Time it belongs to
+        double          others; //!< Requests of other nodes in flight
+        core::Timestamp at;     //!< Time at which the report was made
     };
 
-    unsigned                     m_slots;     //!< Requests worked on at once
-    double                       m_roundTrip; //!< Network time, milliseconds
-    LoadSettings                 m_settings;  //!< Constants
-    double                       m_usual{1};  //!< Usual work here over usual work in the pool
-    double                       m_recent{1}; //!< The same for the last few requests
-    std::vector<core::Timestamp> m_sentAt;    //!< Start of each request in flight
-    std::optional<StoredReport>  m_report;    //!< Last report
+    unsigned     m_slots;                  //!< Requests that the server processes concurrently
+    double       m_roundTrip;              //!< Network round-trip time in milliseconds
+    LoadSettings m_settings;               //!< Parameters of the estimate
+    double       m_usualRatio{1};          //!< Ratio of the usual work at this server to the usual work in the pool
+    double       m_recentRatio{1};         //!< Ratio of the recent work at this server to the usual work in the pool
+    std::vector<core::Timestamp> m_sentAt; //!< Send time of each request in flight
+    std::optional<StoredReport>  m_report; //!< Last load report
 };
 
 } // namespace sailpath::routing
--- a/src/sailpath/routing/BaselineChoices.cpp
+++ b/src/sailpath/routing/BaselineChoices.cpp
@@ -27,11 +27,11 @@
 std::size_t RoundRobinChoice::choose(std::span<const Candidate> candidates, core::Random&)
 {
     std::size_t next = 0;
-    while (next < candidates.size() && candidates[next].server <= m_last)
+    while (next < candidates.size() && candidates[next].server <= m_lastServer)
         ++next;
     if (next == candidates.size())
         next = 0;
-    m_last = candidates[next].server;
+    m_lastServer = candidates[next].server;
     return next;
 }
 
@@ -66,9 +66,9 @@
 ////////////////////////////////////////////////////////////
 std::unique_ptr<ServerChoice> makeServerChoice(std::string_view name)
 {
-    constexpr std::size_t draws = 8;
+    constexpr std::size_t sampleSize = 8;
     if (name == "estimated-finish")
-        return std::make_unique<EstimatedFinishChoice>(draws);
+        return std::make_unique<EstimatedFinishChoice>(sampleSize);
     if (name == "random")
         return std::make_unique<RandomChoice>();
     if (name == "round-robin")
--- a/src/sailpath/routing/EstimatedFinishChoice.cpp
+++ b/src/sailpath/routing/EstimatedFinishChoice.cpp
@@ -3,8 +3,8 @@
 namespace sailpath::routing
 {
 ////////////////////////////////////////////////////////////
-EstimatedFinishChoice::EstimatedFinishChoice(std::size_t draws) :
-m_draws(draws)
+EstimatedFinishChoice::EstimatedFinishChoice(std::size_t sampleSize) :
+m_sampleSize(sampleSize)
 {
 }
 
@@ -12,7 +12,7 @@
 std::size_t EstimatedFinishChoice::choose(std::span<const Candidate> candidates, core::Random& random)
 {
     std::size_t best = random.below(candidates.size());
-    for (std::size_t draw = 1; draw < m_draws; ++draw)
+    for (std::size_t i = 1; i < m_sampleSize; ++i)
     {
         const std::size_t other = random.below(candidates.size());
         if (candidates[other].finishMs < candidates[best].finishMs)
--- a/src/sailpath/routing/ServerHealth.cpp
+++ b/src/sailpath/routing/ServerHealth.cpp
@@ -6,8 +6,8 @@
 {
 namespace
 {
-constexpr double   smallestShare = 0.1;
-constexpr unsigned mostDoublings = 10;
+constexpr double   minShare = 0.1;
+constexpr unsigned maxDoublings = 10;
 
 } // namespace
 
@@ -37,11 +37,11 @@
 {
     ++m_failures;
     const bool trialFailed = m_ejected && m_trialInFlight;
-    const bool tooMany = !m_ejected && mayEject && m_failures >= m_settings.failuresToEject;
-    if (!trialFailed && !tooMany)
+    const bool limitReached = !m_ejected && mayEject && m_failures >= m_settings.failuresToEject;
+    if (!trialFailed && !limitReached)
         return false;
 
-    const auto doublings = std::min(m_ejections, mostDoublings);
+    const auto doublings = std::min(m_ejections, maxDoublings);
     m_ejectedUntil = now + std::min(m_settings.maxEjection, m_settings.firstEjection * (1 << doublings));
     ++m_ejections;
     m_ejected = true;
@@ -64,13 +64,13 @@
 ////////////////////////////////////////////////////////////
 bool ServerHealth::recordDraining(bool leaving, core::Timestamp at)
 {
-    // News travels by several ways; what is older must not undo what is newer.
-    if (at < m_drainHeardAt)
+    // Notices arrive by several paths; an older notice must not override a newer one.
+    if (at < m_drainNoticeAt)
         return false;
-    const bool news = leaving && at >= m_drainUntil;
-    m_drainHeardAt = at;
+    const bool becameDraining = leaving && at >= m_drainUntil;
+    m_drainNoticeAt = at;
     m_drainUntil = leaving ? at + m_settings.drainTimeout : core::Timestamp{};
-    return news;
+    return becameDraining;
 }
 
 ////////////////////////////////////////////////////////////
@@ -86,7 +86,7 @@
     if (now >= m_drainUntil)
         return;
     m_drainUntil = {};
-    m_drainHeardAt = now;
+    m_drainNoticeAt = now;
     m_ejected = true;
     m_trialInFlight = false;
     m_ejectedUntil = now + m_settings.firstEjection;
@@ -109,8 +109,8 @@
 {
     if (now >= m_rampEnd || m_settings.rampDuration.count() == 0)
         return 1.0;
-    const double left = core::toSeconds(m_rampEnd - now) / core::toSeconds(m_settings.rampDuration);
-    return std::clamp(1.0 - left, smallestShare, 1.0);
+    const double remaining = core::toSeconds(m_rampEnd - now) / core::toSeconds(m_settings.rampDuration);
+    return std::clamp(1.0 - remaining, minShare, 1.0);
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/routing/ServerLoad.cpp
+++ b/src/sailpath/routing/ServerLoad.cpp
@@ -8,9 +8,9 @@
 {
 namespace
 {
-// Unanswered requests count once they are older than this many times the
-// estimated work; below that an age says nothing.
-constexpr double suspiciousAge = 3.0;
+// Age of an unanswered request, as a multiple of the estimated work, above
+// which the age replaces the estimate. A smaller age carries no information.
+constexpr double overdueFactor = 3.0;
 
 } // namespace
 
@@ -41,17 +41,17 @@
 ////////////////////////////////////////////////////////////
 double ServerLoad::recordLatency(core::Duration latency, double expected)
 {
-    // Waiting in the server's queue is not work: divide it out by the load
-    // that was in front of the request.
+    // Time in the server's queue is not work: dividing by the load per slot
+    // ahead of the request removes the queueing time from the sample.
     const double others = m_report ? m_report->others : 0.0;
     const double present = others + static_cast<double>(m_sentAt.size()) + 1.0;
-    const double crowding = std::max(1.0, present / m_slots);
-    const double sample = std::max(0.05, (core::toMilliseconds(latency) - m_roundTrip) / crowding);
+    const double queueFactor = std::max(1.0, present / m_slots);
+    const double sample = std::max(0.05, (core::toMilliseconds(latency) - m_roundTrip) / queueFactor);
     const double ratio = sample / expected;
-    m_recent += m_settings.recentWorkWeight * (ratio - m_recent);
-    m_usual += m_settings.usualWorkWeight * (ratio - m_usual);
-    // What was learned of a slow time must not outlast it.
-    m_usual = std::min(m_usual, m_recent * m_settings.peakRatio);
+    m_recentRatio += m_settings.recentWorkWeight * (ratio - m_recentRatio);
+    m_usualRatio += m_settings.usualWorkWeight * (ratio - m_usualRatio);
+    // The usual work must not stay high after a slow period has ended.
+    m_usualRatio = std::min(m_usualRatio, m_recentRatio * m_settings.peakRatio);
     return sample;
 }
 
@@ -84,19 +84,19 @@
     if (!m_report || !m_settings.useReports)
         return expected;
     const double age = core::toMilliseconds(now - m_report->at);
-    const double trust = std::exp2(-age / core::toMilliseconds(m_settings.reportHalfLife));
-    return trust * m_report->others + (1.0 - trust) * expected;
+    const double weight = std::exp2(-age / core::toMilliseconds(m_settings.reportHalfLife));
+    return weight * m_report->others + (1.0 - weight) * expected;
 }
 
 ////////////////////////////////////////////////////////////
 double ServerLoad::workMilliseconds(core::Timestamp now, double work) const
 {
-    // Single samples scatter too much to rank servers by; only a clear peak counts at once.
-    const double here = work * (m_recent > m_settings.peakRatio * m_usual ? m_recent : m_usual);
+    // Single samples vary too much to rank servers; only a clear peak takes effect at once.
+    const double estimate = work * (m_recentRatio > m_settings.peakRatio * m_usualRatio ? m_recentRatio : m_usualRatio);
     if (!m_settings.useOldestAge || m_sentAt.empty())
-        return here;
+        return estimate;
     const double age = core::toMilliseconds(oldestAge(now));
-    return age > suspiciousAge * here ? std::max(here, age) : here;
+    return age > overdueFactor * estimate ? std::max(estimate, age) : estimate;
 }
 
 ////////////////////////////////////////////////////////////
@@ -109,11 +109,11 @@
 double ServerLoad::finishMilliseconds(core::Timestamp now, double expectedOthers, double work) const
 {
     const double present = occupancy(now, expectedOthers) + 1.0;
-    // Below one request a slot there is no queue, but a fuller server is
-    // still the likelier one to have one by the time the request arrives.
-    const double fill = present / m_slots;
-    const double crowding = fill <= 1.0 ? 1.0 + 0.25 * fill * fill : 0.25 + fill;
-    return m_roundTrip + workMilliseconds(now, work) * crowding;
+    // Below one request per slot the server has no queue, but a server with
+    // more requests is more likely to have one when the request arrives.
+    const double perSlot = present / m_slots;
+    const double queueFactor = perSlot <= 1.0 ? 1.0 + 0.25 * perSlot * perSlot : 0.25 + perSlot;
+    return m_roundTrip + workMilliseconds(now, work) * queueFactor;
 }
 
 ////////////////////////////////////////////////////////////
@@ -125,8 +125,8 @@
 ////////////////////////////////////////////////////////////
 void ServerLoad::resetWork()
 {
-    m_usual = 1;
-    m_recent = 1;
+    m_usualRatio = 1;
+    m_recentRatio = 1;
 }
 
 ////////////////////////////////////////////////////////////
--- a/test/routing/ServerChoice.test.cpp
+++ b/test/routing/ServerChoice.test.cpp
@@ -13,7 +13,7 @@
                                           Candidate{2, 20.0, 0, 5.0}};
 
 ////////////////////////////////////////////////////////////
-std::array<int, 3> counts(std::string_view strategy)
+std::array<int, 3> choicesOf(std::string_view strategy)
 {
     core::Random       random(1);
     const auto         choice = routing::makeServerChoice(strategy);
@@ -28,26 +28,26 @@
 BOOST_AUTO_TEST_SUITE(ServerChoice)
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(estimatedFinishPrefersTheEarliestButNotAlways)
+BOOST_AUTO_TEST_CASE(estimatedFinishMostlyChoosesTheEarliest)
 {
-    const auto chosen = counts("estimated-finish");
+    const auto chosen = choicesOf("estimated-finish");
     BOOST_TEST(chosen[1] > 2700);
     BOOST_TEST(chosen[1] < 3000);
     BOOST_TEST(chosen[0] < 30);
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(baselinesDoWhatTheirNamesSay)
+BOOST_AUTO_TEST_CASE(baselinesFollowTheirStrategies)
 {
-    BOOST_TEST(counts("least-own")[2] == 3000);
-    BOOST_TEST(counts("round-robin")[0] == 1000);
-    BOOST_TEST(counts("two-own")[1] < counts("two-own")[2]);
-    BOOST_TEST(counts("two-reported")[1] > counts("two-reported")[0]);
-    BOOST_TEST(counts("random")[0] > 800);
+    BOOST_TEST(choicesOf("least-own")[2] == 3000);
+    BOOST_TEST(choicesOf("round-robin")[0] == 1000);
+    BOOST_TEST(choicesOf("two-own")[1] < choicesOf("two-own")[2]);
+    BOOST_TEST(choicesOf("two-reported")[1] > choicesOf("two-reported")[0]);
+    BOOST_TEST(choicesOf("random")[0] > 800);
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(unknownStrategiesAreRefused)
+BOOST_AUTO_TEST_CASE(unknownStrategiesAreRejected)
 {
     BOOST_TEST(!routing::makeServerChoice("best"));
 }
--- a/test/routing/ServerHealth.test.cpp
+++ b/test/routing/ServerHealth.test.cpp
@@ -23,7 +23,7 @@
 BOOST_AUTO_TEST_SUITE(ServerHealth)
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(failuresInARowEjectAndOneTrialDecides)
+BOOST_AUTO_TEST_CASE(failuresInARowEjectAndOneSuccessfulTrialReturns)
 {
     routing::ServerHealth health({});
     failThrice(health, start);
@@ -50,7 +50,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aSuccessBetweenFailuresKeepsItIn)
+BOOST_AUTO_TEST_CASE(aSuccessBetweenFailuresPreventsEjection)
 {
     routing::ServerHealth health({});
     for (int i = 0; i < 10; ++i)
@@ -63,7 +63,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(anAbandonedTrialLetsAnotherTry)
+BOOST_AUTO_TEST_CASE(anAbandonedTrialAllowsAnotherTrial)
 {
     routing::ServerHealth health({});
     failThrice(health, start);
@@ -73,7 +73,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(olderNewsDoesNotUndoThatItLeaves)
+BOOST_AUTO_TEST_CASE(olderNoticesDoNotOverrideDraining)
 {
     routing::ServerHealth health({});
     BOOST_TEST(health.recordDraining(true, start));
@@ -85,7 +85,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aServerThatIsGoneIsTriedAgain)
+BOOST_AUTO_TEST_CASE(aDrainedServerThatClosedIsTriedAgain)
 {
     routing::ServerHealth health({});
     health.recordClosed(start);
--- a/test/routing/ServerLoad.test.cpp
+++ b/test/routing/ServerLoad.test.cpp
@@ -11,7 +11,7 @@
 constexpr double          usualWork = 10;
 
 ////////////////////////////////////////////////////////////
-void answerIn(routing::ServerLoad& load, core::Duration latency)
+void answerAfter(routing::ServerLoad& load, core::Duration latency)
 {
     load.recordSent(start);
     load.recordEnded(start);
@@ -23,7 +23,7 @@
 BOOST_AUTO_TEST_SUITE(ServerLoad)
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(reportsFadeToWhatIsUsual)
+BOOST_AUTO_TEST_CASE(agingReportsApproachTheExpectedLoad)
 {
     routing::ServerLoad load(3, 0ms, {});
     BOOST_TEST(load.othersInFlight(start, 2.0) == 2.0);
@@ -53,26 +53,26 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aPeakCountsAtOnceAndIsForgotten)
+BOOST_AUTO_TEST_CASE(aPeakOfWorkTakesEffectAtOnceAndDecays)
 {
     routing::ServerLoad load(3, 0ms, {});
     for (int i = 0; i < 50; ++i)
-        answerIn(load, 10ms);
+        answerAfter(load, 10ms);
     BOOST_TEST(load.workMilliseconds(start, usualWork) < 11.0);
     for (int i = 0; i < 2; ++i)
-        answerIn(load, 100ms);
+        answerAfter(load, 100ms);
     BOOST_TEST(load.workMilliseconds(start, usualWork) > 40.0);
     for (int i = 0; i < 30; ++i)
-        answerIn(load, 10ms);
+        answerAfter(load, 10ms);
     BOOST_TEST(load.workMilliseconds(start, usualWork) < 25.0);
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(anUnansweredRequestShowsASlowServer)
+BOOST_AUTO_TEST_CASE(anOverdueRequestRaisesTheEstimatedWork)
 {
     routing::ServerLoad load(3, 0ms, {});
     for (int i = 0; i < 50; ++i)
-        answerIn(load, 10ms);
+        answerAfter(load, 10ms);
     load.recordSent(start);
     BOOST_TEST(load.workMilliseconds(start + 20ms, usualWork) < 12.0);
     BOOST_TEST(load.workMilliseconds(start + 90ms, usualWork) == 90.0);
