--- a/include/sailpath/retries/AttemptResult.hpp
+++ b/include/sailpath/retries/AttemptResult.hpp
@@ -3,30 +3,30 @@
 namespace sailpath::retries
 {
 ////////////////////////////////////////////////////////////
-/// \brief How one attempt at a server ended
+/// \brief Result of one attempt to have a server answer a request
 ////////////////////////////////////////////////////////////
 enum class AttemptResult
 {
-    Answered,  //!< An answer that is not a failure of the server
-    Failed,    //!< The server answered that it failed; the request may have run
-    Shed,      //!< The server refused it for load and says that it did not run
-    NotSent,   //!< No byte of it can have reached the server
-    Unknown,   //!< Sent, but no whole answer came
-    Abandoned, //!< The caller hung up or its deadline passed
+    Answered,  //!< The server answered without reporting a failure
+    Failed,    //!< The server answered with a failure; the request may have run
+    Shed,      //!< The server refused the request because of load and states that it did not run
+    NotSent,   //!< No byte of the request can have reached the server
+    Unknown,   //!< The request was sent, but no complete answer arrived
+    Abandoned, //!< The caller disconnected or its deadline passed
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Whether a request ran, as far as the system can honestly say
+/// \brief Whether a server executed a request, as far as the system knows
 ////////////////////////////////////////////////////////////
 enum class Ran
 {
-    Yes,     //!< The server answered
-    No,      //!< Certainly not
-    Unknown, //!< Cannot be told
+    Yes,     //!< The server answered the request
+    No,      //!< The request certainly did not run
+    Unknown, //!< The request may or may not have run
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Whether a request ran after an attempt ended so
+/// \brief Return whether a request ran, given the result of its attempt
 ////////////////////////////////////////////////////////////
 [[nodiscard]] constexpr Ran ranAfter(AttemptResult result)
 {
--- a/include/sailpath/retries/RetryBudget.hpp
+++ b/include/sailpath/retries/RetryBudget.hpp
@@ -3,15 +3,15 @@
 namespace sailpath::retries
 {
 ////////////////////////////////////////////////////////////
-/// \brief Allows retries as a share of first attempts
+/// \brief Token bucket that limits retries to a share of first attempts
 ///
-/// However many requests fail, attempts in all stay below
-/// (1 + share) x requests plus a small saved amount.
+/// However many requests fail, the total number of attempts stays below
+/// (1 + share) x requests plus the few tokens of the bucket.
 ////////////////////////////////////////////////////////////
 class RetryBudget
 {
 public:
-    static constexpr double maxTokens = 10.0; //!< Retries that may be saved up
+    static constexpr double maxTokens = 10.0; //!< Capacity of the bucket in retries
 
     ////////////////////////////////////////////////////////////
     /// \brief Create a budget
@@ -21,25 +21,25 @@
     explicit RetryBudget(double share);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Change the share; what was saved stays
+    /// \brief Change the share and keep the accrued tokens
     ////////////////////////////////////////////////////////////
     void setShare(double share);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note a first attempt
+    /// \brief Record a first attempt, which adds `share` tokens
     ////////////////////////////////////////////////////////////
     void recordFirstAttempt();
 
     ////////////////////////////////////////////////////////////
-    /// \brief Take one retry
+    /// \brief Consume the token for one retry if there is one
     ///
-    /// \return Whether it is allowed
+    /// \return Whether the retry is allowed
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool tryConsume();
 
 private:
     double m_share;       //!< Retries as a share of first attempts
-    double m_tokens{1.0}; //!< Retries allowed now
+    double m_tokens{1.0}; //!< Retries allowed at present
 };
 
 } // namespace sailpath::retries
--- a/include/sailpath/retries/RetryPolicy.hpp
+++ b/include/sailpath/retries/RetryPolicy.hpp
@@ -8,28 +8,28 @@
 namespace sailpath::retries
 {
 ////////////////////////////////////////////////////////////
-/// \brief What is known of a request when one attempt at it has ended
+/// \brief State of a request at the end of one of its attempts
 ////////////////////////////////////////////////////////////
 struct AttemptRecord
 {
-    AttemptResult  result{AttemptResult::Unknown}; //!< How the attempt ended
-    bool           repeatable{false};              //!< Operators' rule for its route
-    bool           bodyReplayable{true};           //!< Whether the body can be sent once more
-    bool           retryForbidden{false};          //!< The answer says not to retry
-    unsigned       attempts{1};                    //!< Attempts made, this one included
-    core::Duration timeLeft{};                     //!< Time until its deadline
-    core::Duration expected{};                     //!< Time that another attempt should take
+    AttemptResult  result{AttemptResult::Unknown}; //!< Result of the attempt
+    bool           repeatable{false};              //!< Whether the route is configured as repeatable
+    bool           bodyReplayable{true};           //!< Whether the request body can be sent again
+    bool           retryForbidden{false};          //!< Whether the answer forbids a retry
+    unsigned       attempts{1};                    //!< Number of attempts made, including this one
+    core::Duration timeLeft{};                     //!< Time until the deadline of the request
+    core::Duration expected{};                     //!< Expected duration of another attempt
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Decide whether a request is sent once more
+/// \brief Decide whether a request is sent again
 ///
-/// A request that may not be repeated is sent again only when no byte of it
+/// A request that is not repeatable is sent again only when no byte of it
 /// can have reached a server.
 ///
-/// \param record What is known
-/// \param rule   Operators' rule
-/// \param budget Charged when the answer is yes
+/// \param record State of the request after the attempt
+/// \param rule   Configured retry rule of the service
+/// \param budget Retry budget, charged when a retry is allowed
 ////////////////////////////////////////////////////////////
 [[nodiscard]] bool shouldRetry(const AttemptRecord& record, const config::RetryRule& rule, RetryBudget& budget);
 
--- a/test/retries/RetryPolicy.test.cpp
+++ b/test/retries/RetryPolicy.test.cpp
@@ -10,7 +10,7 @@
 using retries::AttemptResult;
 
 ////////////////////////////////////////////////////////////
-bool retried(const AttemptRecord& record)
+bool isRetried(const AttemptRecord& record)
 {
     retries::RetryBudget budget(0.1);
     return retries::shouldRetry(record, {2, 0.1}, budget);
@@ -21,34 +21,34 @@
 BOOST_AUTO_TEST_SUITE(RetryPolicy)
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(onlyWhatCannotHaveArrivedIsSentAgainWhenNotRepeatable)
+BOOST_AUTO_TEST_CASE(nonRepeatableRequestsAreRetriedOnlyWhenNotSent)
 {
     for (const AttemptResult result : {AttemptResult::Answered, AttemptResult::Failed, AttemptResult::Shed,
                                        AttemptResult::Unknown, AttemptResult::Abandoned})
-        BOOST_TEST(!retried({result, false, true, false, 1, 1s, 10ms}));
-    BOOST_TEST(retried({AttemptResult::NotSent, false, true, false, 1, 1s, 10ms}));
+        BOOST_TEST(!isRetried({result, false, true, false, 1, 1s, 10ms}));
+    BOOST_TEST(isRetried({AttemptResult::NotSent, false, true, false, 1, 1s, 10ms}));
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(repeatableRequestsAreSentAgainAfterFailures)
+BOOST_AUTO_TEST_CASE(repeatableRequestsAreRetriedAfterFailures)
 {
     for (const AttemptResult result : {AttemptResult::Failed, AttemptResult::Shed, AttemptResult::Unknown})
-        BOOST_TEST(retried({result, true, true, false, 1, 1s, 10ms}));
-    BOOST_TEST(!retried({AttemptResult::Answered, true, true, false, 1, 1s, 10ms}));
-    BOOST_TEST(!retried({AttemptResult::Abandoned, true, true, false, 1, 1s, 10ms}));
+        BOOST_TEST(isRetried({result, true, true, false, 1, 1s, 10ms}));
+    BOOST_TEST(!isRetried({AttemptResult::Answered, true, true, false, 1, 1s, 10ms}));
+    BOOST_TEST(!isRetried({AttemptResult::Abandoned, true, true, false, 1, 1s, 10ms}));
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(limitsHold)
+BOOST_AUTO_TEST_CASE(retriesRespectAnswerBodyAttemptsAndDeadline)
 {
-    BOOST_TEST(!retried({AttemptResult::Failed, true, true, true, 1, 1s, 10ms}));   // Forbidden
-    BOOST_TEST(!retried({AttemptResult::Failed, true, false, false, 1, 1s, 10ms})); // No body
-    BOOST_TEST(!retried({AttemptResult::Failed, true, true, false, 2, 1s, 10ms}));  // Attempts
-    BOOST_TEST(!retried({AttemptResult::Failed, true, true, false, 1, 5ms, 10ms})); // Time
+    BOOST_TEST(!isRetried({AttemptResult::Failed, true, true, true, 1, 1s, 10ms}));   // The answer forbids a retry
+    BOOST_TEST(!isRetried({AttemptResult::Failed, true, false, false, 1, 1s, 10ms})); // The body cannot be sent again
+    BOOST_TEST(!isRetried({AttemptResult::Failed, true, true, false, 2, 1s, 10ms}));  // No attempts left
+    BOOST_TEST(!isRetried({AttemptResult::Failed, true, true, false, 1, 5ms, 10ms})); // Too little time left
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(theBudgetBoundsRetriesWhenEverythingFails)
+BOOST_AUTO_TEST_CASE(theBudgetLimitsRetriesWhenAllRequestsFail)
 {
     retries::RetryBudget budget(0.1);
     int                  allowed = 0;
