--- a/include/sailpath/membership/Member.hpp
+++ b/include/sailpath/membership/Member.hpp
@@ -6,14 +6,14 @@
 namespace sailpath::membership
 {
 ////////////////////////////////////////////////////////////
-/// \brief What is believed of a VM; later ones win at the same incarnation
+/// \brief Believed status of a VM; at the same incarnation a later enumerator overrides an earlier one
 ////////////////////////////////////////////////////////////
 enum class MemberStatus : std::uint8_t
 {
-    Alive,   //!< Works
-    Suspect, //!< Somebody could not reach it
-    Leaving, //!< Says that it stops
-    Dead     //!< Suspected for too long, or gone
+    Alive,   //!< The member works
+    Suspect, //!< Some member could not reach it
+    Leaving, //!< The member has announced that it stops
+    Dead     //!< The suspicion has timed out, or the member has left
 };
 
 ////////////////////////////////////////////////////////////
@@ -21,17 +21,17 @@
 ////////////////////////////////////////////////////////////
 struct Member
 {
-    std::string   name;                        //!< Unique name
-    std::string   address;                     //!< `IP:PORT` for peers
-    std::string   dataCentre;                  //!< Where it runs
-    std::uint64_t incarnation{0};              //!< Rises with each start and each denial of a suspicion
-    MemberStatus  status{MemberStatus::Alive}; //!< What is believed
+    std::string   name;                        //!< Unique name of the VM
+    std::string   address;                     //!< `IP:PORT` at which peers reach the VM
+    std::string   dataCentre;                  //!< Data centre in which the VM runs
+    std::uint64_t incarnation{0};              //!< Increases with each start and each refutation of a suspicion
+    MemberStatus  status{MemberStatus::Alive}; //!< Believed status
 
     friend bool operator==(const Member&, const Member&) = default;
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Whether one claim about a member replaces another
+/// \brief Return whether a claim about a member overrides the known state
 ////////////////////////////////////////////////////////////
 [[nodiscard]] constexpr bool supersedes(const Member& claim, const Member& known)
 {
--- a/include/sailpath/membership/MemberTable.hpp
+++ b/include/sailpath/membership/MemberTable.hpp
@@ -14,116 +14,117 @@
 namespace sailpath::membership
 {
 ////////////////////////////////////////////////////////////
-/// \brief Constants of membership
+/// \brief Parameters of the membership protocol
 ////////////////////////////////////////////////////////////
 struct MembershipSettings
 {
-    core::Duration suspicionTimeout{std::chrono::seconds{4}};  //!< From suspected to dead
-    core::Duration deadRetention{std::chrono::minutes{10}};    //!< From dead to forgotten
-    core::Duration deadRetryInterval{std::chrono::seconds{5}}; //!< Between tries to reach a dead member
-    double         sendFactor{3.0};                            //!< A claim is told spread x log2(members) times
+    core::Duration suspicionTimeout{
+        std::chrono::seconds{4}}; //!< Time after which a suspected or leaving member counts as dead
+    core::Duration deadRetention{std::chrono::minutes{10}};    //!< Time after which a dead member is removed
+    core::Duration deadRetryInterval{std::chrono::seconds{5}}; //!< Interval between attempts to contact a dead member
+    double         sendFactor{3.0}; //!< Each claim is sent ceil(sendFactor x log2(members + 1)) times
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What one VM believes of the others
+/// \brief Membership view of one VM
 ///
-/// Every round one member is contacted; who does not answer is suspected,
-/// and claims travel with the messages that are sent anyway. A suspected
-/// member that is alive hears of it and denies it under a higher
-/// incarnation (after SWIM: Das, Gupta, Motivala, DSN 2002).
+/// Each round contacts one member. A member that does not answer is
+/// suspected, and claims about members are piggybacked on other messages. A
+/// suspected member that is alive receives the claim and refutes it with a
+/// higher incarnation (after SWIM: Das, Gupta, Motivala, DSN 2002).
 ////////////////////////////////////////////////////////////
 class MemberTable
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Create a table that knows only its owner
+    /// \brief Create a table that contains only its owner
     ///
-    /// \param self     The owner
-    /// \param settings Constants
+    /// \param self     Member that owns the table
+    /// \param settings Parameters of the protocol
     ////////////////////////////////////////////////////////////
     MemberTable(Member self, MembershipSettings settings);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear claims from a peer
+    /// \brief Merge claims received from a peer
     ////////////////////////////////////////////////////////////
     void merge(std::span<const Member> claims, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear of a member from the platform's list, which lags: it only adds names to try
+    /// \brief Add a member from the platform's list if its name is unknown; the list lags and changes no known member
     ////////////////////////////////////////////////////////////
     void addListed(const Member& listed, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note that a member answered or called
+    /// \brief Record that a member answered or sent a message
     ///
-    /// \return Whether it must be told that it is held for suspect or dead, so that it can deny it
+    /// \return Whether the member must be told that it counts as suspect, leaving or dead, so that it can refute this
     ////////////////////////////////////////////////////////////
     bool recordContact(const Member& peer, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note that a member could not be reached
+    /// \brief Record that a member could not be reached
     ////////////////////////////////////////////////////////////
     void recordUnreachable(std::string_view name, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Announce that the owner stops
+    /// \brief Mark the owner as leaving, for announcement to the peers
     ////////////////////////////////////////////////////////////
     void leave(core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Let time pass: suspects become dead, the dead are forgotten
+    /// \brief Apply timeouts: suspected and leaving members become dead, dead members are removed
     ////////////////////////////////////////////////////////////
     void tick(core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief The member to contact next, each in turn in random order; now and then a dead one
+    /// \brief Return the next member to contact: each in turn in random order, and a dead one at intervals
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::optional<Member> nextPeer(core::Random& random, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief A few live members chosen at random, the owner excluded
+    /// \brief Return up to `count` live members chosen at random, excluding the owner
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::vector<Member> randomPeers(std::size_t count, core::Random& random) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Claims to send along, those told least first
+    /// \brief Return the claims to send with a message, the least often sent first
     ///
-    /// \param most Number of claims at most
+    /// \param maxCount Maximum number of claims
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] std::vector<Member> claimsToSend(std::size_t most);
+    [[nodiscard]] std::vector<Member> claimsToSend(std::size_t maxCount);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Names of the members that are alive, the owner included
+    /// \brief Return the names of the live members, including the owner
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::vector<std::string_view> aliveNames() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief All members, the owner included
+    /// \brief Return all members, including the owner
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::vector<Member> all() const;
 
-    [[nodiscard]] std::optional<Member> find(std::string_view name) const; //!< One member
-    [[nodiscard]] const Member&         self() const;                      //!< The owner
-    [[nodiscard]] std::uint64_t         version() const; //!< Rises whenever `aliveNames` may have changed
+    [[nodiscard]] std::optional<Member> find(std::string_view name) const; //!< Member of this name; empty when unknown
+    [[nodiscard]] const Member&         self() const;                      //!< Member that owns the table
+    [[nodiscard]] std::uint64_t         version() const; //!< Increases whenever `aliveNames` may have changed
 
 private:
     struct Entry
     {
-        Member          member;       //!< What is believed
-        core::Timestamp since{};      //!< Start of the present status
-        unsigned        sendCount{0}; //!< Times that the claim was sent
+        Member          member;       //!< Believed state of the member
+        core::Timestamp since{};      //!< Time of the last change of the state
+        unsigned        sendCount{0}; //!< Number of times the claim was sent
     };
 
     void                   applyClaim(const Member& claim, core::Timestamp now);
     void                   refute(std::uint64_t incarnation, core::Timestamp now);
     [[nodiscard]] unsigned sendLimit() const;
 
-    Member                   m_self;            //!< The owner
-    MembershipSettings       m_settings;        //!< Constants
-    core::StringMap<Entry>   m_entries;         //!< By name, the owner included
-    std::vector<std::string> m_uncontacted;     //!< Names left to contact in this turn
-    core::Timestamp          m_nextDeadRetry{}; //!< Next try of a dead member
-    std::uint64_t            m_version{0};      //!< Changes of who is alive
+    Member                   m_self;            //!< Member that owns the table
+    MembershipSettings       m_settings;        //!< Parameters of the protocol
+    core::StringMap<Entry>   m_entries;         //!< Members by name, including the owner
+    std::vector<std::string> m_uncontacted;     //!< Names of the members not yet contacted in this round
+    core::Timestamp          m_nextDeadRetry{}; //!< Time of the next attempt to contact a dead member
+    std::uint64_t            m_version{0};      //!< Number of changes to the set of live members
 };
 
 } // namespace sailpath::membership
--- a/include/sailpath/membership/Rendezvous.hpp
+++ b/include/sailpath/membership/Rendezvous.hpp
@@ -7,16 +7,17 @@
 namespace sailpath::membership
 {
 ////////////////////////////////////////////////////////////
-/// \brief Whether a member is among those chosen for a task
+/// \brief Return whether a member is among those chosen for a task
 ///
-/// Rendezvous hashing: each member's weight for the task is a hash of both
-/// names, and the heaviest are chosen. VMs with the same view choose the
-/// same members; a change of one member moves only its own tasks.
+/// Uses rendezvous hashing: the weight of a member for the task is a hash of
+/// both names, and the members with the largest weights are chosen. VMs with
+/// the same view choose the same members; adding or removing one member
+/// moves only the tasks of that member.
 ///
 /// \param task    Name of the task
-/// \param self    Member in question
-/// \param members All members, `self` included
-/// \param count   Number of members chosen
+/// \param self    Name of the member to check
+/// \param members Names of all members, including `self`
+/// \param count   Number of members to choose
 ////////////////////////////////////////////////////////////
 [[nodiscard]] bool isChosen(std::string_view task, std::string_view self, std::span<const std::string_view> members,
                             std::size_t count);
--- a/src/sailpath/membership/MemberTable.cpp
+++ b/src/sailpath/membership/MemberTable.cpp
@@ -16,7 +16,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool isContacted(const Member& member)
+bool isContactable(const Member& member)
 {
     return member.status == MemberStatus::Alive || member.status == MemberStatus::Suspect;
 }
@@ -64,7 +64,7 @@
     if (found == m_entries.end() || peer.status != MemberStatus::Alive ||
         found->second.member.status == MemberStatus::Alive)
         return false;
-    // It lives, but only it may take the claim back: others have heard the claim too.
+    // The member is alive, but only the member itself can refute the claim: other members have received it too.
     found->second.sendCount = 0;
     return true;
 }
@@ -92,13 +92,13 @@
 ////////////////////////////////////////////////////////////
 void MemberTable::tick(core::Timestamp now)
 {
-    std::vector<std::string> forgotten;
+    std::vector<std::string> expired;
     for (auto& [name, entry] : m_entries)
     {
         const core::Duration age = now - entry.since;
-        const bool           fading = entry.member.status == MemberStatus::Suspect ||
-                            (entry.member.status == MemberStatus::Leaving && name != m_self.name);
-        if (fading && age > m_settings.suspicionTimeout)
+        const bool           expires = entry.member.status == MemberStatus::Suspect ||
+                             (entry.member.status == MemberStatus::Leaving && name != m_self.name);
+        if (expires && age > m_settings.suspicionTimeout)
         {
             entry.member.status = MemberStatus::Dead;
             entry.since = now;
@@ -106,9 +106,9 @@
             ++m_version;
         }
         else if (entry.member.status == MemberStatus::Dead && age > m_settings.deadRetention)
-            forgotten.push_back(name);
+            expired.push_back(name);
     }
-    for (const std::string& name : forgotten)
+    for (const std::string& name : expired)
     {
         m_entries.erase(name);
         ++m_version;
@@ -120,7 +120,7 @@
 {
     if (now >= m_nextDeadRetry)
     {
-        // After a network split both sides hold the other for dead; somebody has to ask.
+        // After a network partition each side counts the other as dead; only contacting dead members reunites them.
         m_nextDeadRetry = now + m_settings.deadRetryInterval;
         std::vector<const Member*> dead;
         for (const auto& item : m_entries)
@@ -135,7 +135,7 @@
     {
         for (const auto& [name, entry] : m_entries)
         {
-            if (name != m_self.name && isContacted(entry.member))
+            if (name != m_self.name && isContactable(entry.member))
                 m_uncontacted.push_back(name);
         }
         std::sort(m_uncontacted.begin(), m_uncontacted.end());
@@ -146,7 +146,7 @@
         const std::string name = std::move(m_uncontacted.back());
         m_uncontacted.pop_back();
         const auto found = m_entries.find(name);
-        if (found != m_entries.end() && isContacted(found->second.member))
+        if (found != m_entries.end() && isContactable(found->second.member))
             return found->second.member;
     }
     return std::nullopt;
@@ -169,22 +169,22 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<Member> MemberTable::claimsToSend(std::size_t most)
+std::vector<Member> MemberTable::claimsToSend(std::size_t maxCount)
 {
-    std::vector<Entry*> fresh;
+    std::vector<Entry*> pending;
     for (auto& item : m_entries)
     {
         if (item.second.sendCount < sendLimit())
-            fresh.push_back(&item.second);
+            pending.push_back(&item.second);
     }
-    std::sort(fresh.begin(), fresh.end(),
+    std::sort(pending.begin(), pending.end(),
               [](const Entry* a, const Entry* b)
               { return a->sendCount != b->sendCount ? a->sendCount < b->sendCount : a->member.name < b->member.name; });
     std::vector<Member> claims;
-    for (std::size_t i = 0; i < fresh.size() && i < most; ++i)
+    for (std::size_t i = 0; i < pending.size() && i < maxCount; ++i)
     {
-        ++fresh[i]->sendCount;
-        claims.push_back(fresh[i]->member);
+        ++pending[i]->sendCount;
+        claims.push_back(pending[i]->member);
     }
     return claims;
 }
@@ -239,7 +239,7 @@
     const auto found = m_entries.find(claim.name);
     if (found == m_entries.end())
     {
-        // A stranger that is dead already is no news.
+        // A claim that an unknown member is dead changes nothing.
         if (claim.status != MemberStatus::Dead)
         {
             m_entries[claim.name] = {claim, now, 0};
--- a/src/sailpath/membership/Rendezvous.cpp
+++ b/src/sailpath/membership/Rendezvous.cpp
@@ -11,12 +11,12 @@
               std::size_t count)
 {
     const std::uint64_t seed = core::hash(task);
-    const std::uint64_t own = core::hash(self, seed);
+    const std::uint64_t ownWeight = core::hash(self, seed);
     std::size_t         heavier = 0;
     for (const std::string_view member : members)
     {
         const std::uint64_t weight = core::hash(member, seed);
-        if (weight > own || (weight == own && member < self))
+        if (weight > ownWeight || (weight == ownWeight && member < self))
             ++heavier;
     }
     return heavier < count;
--- a/test/membership/MemberTable.test.cpp
+++ b/test/membership/MemberTable.test.cpp
@@ -35,7 +35,7 @@
 BOOST_AUTO_TEST_SUITE(MemberTable)
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(silenceLeadsFromSuspicionToDeath)
+BOOST_AUTO_TEST_CASE(anUnreachableMemberIsSuspectedThenDeadThenRemoved)
 {
     membership::MemberTable table(member("a", 1), {});
     table.recordContact(member("b", 1), start);
@@ -50,7 +50,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aSuspectedMemberDeniesIt)
+BOOST_AUTO_TEST_CASE(aSuspectedMemberRefutesTheSuspicion)
 {
     membership::MemberTable table(member("a", 5), {});
     table.merge(std::array{member("a", 5, MemberStatus::Suspect)}, start);
@@ -74,7 +74,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aMemberThatLeavesIsNotContacted)
+BOOST_AUTO_TEST_CASE(aLeavingMemberIsNotContacted)
 {
     core::Random            random(1);
     membership::MemberTable table(member("a", 1), {});
@@ -85,7 +85,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(theDeadAreTriedNowAndThen)
+BOOST_AUTO_TEST_CASE(deadMembersAreContactedAtIntervals)
 {
     core::Random            random(1);
     membership::MemberTable table(member("a", 1), {});
@@ -99,18 +99,18 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(claimsAreToldABoundedNumberOfTimes)
+BOOST_AUTO_TEST_CASE(claimsAreSentALimitedNumberOfTimes)
 {
     membership::MemberTable table(member("a", 1), {});
     table.recordContact(member("b", 1), start);
-    int told = 0;
+    int sent = 0;
     for (int i = 0; i < 100; ++i)
-        told += static_cast<int>(table.claimsToSend(6).size());
-    BOOST_TEST(told == 10); // Two claims, five times each
+        sent += static_cast<int>(table.claimsToSend(6).size());
+    BOOST_TEST(sent == 10); // Two claims are sent five times each
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(rendezvousMovesOnlyTheTasksOfWhoLeaves)
+BOOST_AUTO_TEST_CASE(rendezvousMovesOnlyTheTasksOfALeavingMember)
 {
     const std::array<std::string_view, 5> all{"a", "b", "c", "d", "e"};
     const std::array<std::string_view, 4> four{"a", "b", "c", "d"};
