--- a/include/sailpath/state/Backoff.hpp
+++ b/include/sailpath/state/Backoff.hpp
@@ -6,10 +6,10 @@
 namespace sailpath::state
 {
 ////////////////////////////////////////////////////////////
-/// \brief Waiting times between tries that fail: growing, bounded, spread at random
+/// \brief Exponential backoff with an upper bound and random jitter
 ///
-/// After an outage the VMs come back spread over the longest wait, not all
-/// at once.
+/// The jitter spreads the retries of all VMs after an outage over the
+/// longest wait, so that they do not arrive at once.
 ////////////////////////////////////////////////////////////
 class Backoff
 {
@@ -17,25 +17,25 @@
     ////////////////////////////////////////////////////////////
     /// \brief Create a backoff
     ///
-    /// \param first   Shortest wait
-    /// \param longest Longest wait
+    /// \param minWait Shortest wait
+    /// \param maxWait Longest wait
     ////////////////////////////////////////////////////////////
-    Backoff(core::Duration first, core::Duration longest);
+    Backoff(core::Duration minWait, core::Duration maxWait);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Wait after a failure; grows with each call
+    /// \brief Return the wait after a failure; the range of waits grows with each call
     ////////////////////////////////////////////////////////////
     [[nodiscard]] core::Duration next(core::Random& random);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Start over after a success
+    /// \brief Return to the shortest wait after a success
     ////////////////////////////////////////////////////////////
     void reset();
 
 private:
     core::Duration m_minWait; //!< Shortest wait
     core::Duration m_maxWait; //!< Longest wait
-    core::Duration m_last;    //!< Previous wait
+    core::Duration m_base;    //!< One third of the next upper bound, unless that is the longest wait
 };
 
 } // namespace sailpath::state
--- a/include/sailpath/state/ConfigurationState.hpp
+++ b/include/sailpath/state/ConfigurationState.hpp
@@ -11,52 +11,52 @@
 namespace sailpath::state
 {
 ////////////////////////////////////////////////////////////
-/// \brief A batch of documents, oldest revision first
+/// \brief A batch of documents in ascending order of revision
 ////////////////////////////////////////////////////////////
 struct DocumentBatch
 {
-    std::vector<Document> documents;   //!< Newer than what was asked for, by rising revision
-    bool                  more{false}; //!< The bound was reached; ask again from the last revision
+    std::vector<Document> documents; //!< Documents newer than the requested revision, in ascending order
+    bool more{false}; //!< Whether the size bound cut the batch; the next request starts at its last revision
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief All workspaces' configuration on one VM; only ever moves forward
+/// \brief Configuration of all workspaces on one VM; its revision never decreases
 ///
 /// The state at revision R holds the newest version of every document whose
-/// newest version is at or below R. Batches keep to that by rising revision,
-/// so any VM can bring any other up to date.
+/// newest version is at or below R. Batches preserve this property by
+/// ascending revision, so any VM can bring any other up to date.
 ////////////////////////////////////////////////////////////
 class ConfigurationState
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Take a document if it is newer than the one in force
+    /// \brief Apply a document if it is newer than the one in force
     ///
-    /// \return Whether it was taken
+    /// \return Whether the document was applied
     ////////////////////////////////////////////////////////////
     bool applyIfNewer(const Document& document);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Revision up to which the state is complete; 0 before the first
+    /// \brief Return the revision up to which the state is complete; 0 before the first document
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::uint64_t revision() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Documents newer than a revision
+    /// \brief Return documents newer than a revision
     ///
-    /// \param revision  Revision that the asker has
-    /// \param maxBytes Bound on the text; at least one document is given
+    /// \param revision Revision that the requester has
+    /// \param maxBytes Bound on the total size of the texts in bytes; at least one document is returned if any is newer
     ////////////////////////////////////////////////////////////
     [[nodiscard]] DocumentBatch since(std::uint64_t revision, std::size_t maxBytes) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief The document of a workspace; null when there is none
+    /// \brief Return the document of a workspace; null when there is none
     ////////////////////////////////////////////////////////////
     [[nodiscard]] const Document* find(std::string_view workspace) const;
 
 private:
-    core::StringMap<Document>            m_documents;  //!< By workspace
-    std::map<std::uint64_t, std::string> m_byRevision; //!< Workspace of each document in force
+    core::StringMap<Document>            m_documents;  //!< Documents by workspace
+    std::map<std::uint64_t, std::string> m_byRevision; //!< Workspace of each document in force, by revision
 };
 
 } // namespace sailpath::state
--- a/include/sailpath/state/Document.hpp
+++ b/include/sailpath/state/Document.hpp
@@ -6,14 +6,14 @@
 namespace sailpath::state
 {
 ////////////////////////////////////////////////////////////
-/// \brief One workspace's configuration as the store keeps it
+/// \brief Configuration of one workspace as the store holds it
 ////////////////////////////////////////////////////////////
 struct Document
 {
     std::string   workspace;      //!< Name of the workspace
-    std::string   text;           //!< Declaration; empty when deleted
-    std::uint64_t revision{0};    //!< The store's revision of this version
-    bool          deleted{false}; //!< The workspace was deleted
+    std::string   text;           //!< Text of the configuration; empty when deleted
+    std::uint64_t revision{0};    //!< Store revision of this version
+    bool          deleted{false}; //!< Whether the workspace was deleted
 
     friend bool operator==(const Document&, const Document&) = default;
 };
--- a/include/sailpath/state/HeldLease.hpp
+++ b/include/sailpath/state/HeldLease.hpp
@@ -8,44 +8,46 @@
 namespace sailpath::state
 {
 ////////////////////////////////////////////////////////////
-/// \brief A holder's own view of its lease in the store
+/// \brief The holder's view of its lease in the store
 ///
-/// The lease counts from before each request was sent, so this view ends
-/// before the store's does. A holder that was paused finds it ended by the
-/// clock, whatever it believed when it was paused.
+/// The lease is counted from the time at which the request to grant or renew
+/// it was sent, so the holder's view expires before the lease in the store.
+/// A holder resumed after a pause finds its lease expired by the clock,
+/// whatever its state before the pause.
 ////////////////////////////////////////////////////////////
 class HeldLease
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Note that the store granted or renewed the lease
+    /// \brief Record that the store granted or renewed the lease
     ///
-    /// \param id     The store's id
-    /// \param length Length that the store answered
+    /// \param id     Identifier of the lease in the store
+    /// \param length Duration of the lease by the answer of the store
     /// \param sentAt Time at which the request was sent
     ////////////////////////////////////////////////////////////
     void recordGrant(std::int64_t id, core::Duration length, core::Timestamp sentAt);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note that the lease is gone
+    /// \brief Record that the lease is lost
     ////////////////////////////////////////////////////////////
     void recordLoss();
 
     ////////////////////////////////////////////////////////////
-    /// \brief Whether the holder may act on it now
+    /// \brief Return whether the holder may act on the lease now
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool isValid(core::Timestamp now) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief The store's id while the lease is held
+    /// \brief Return the identifier of the lease in the store; empty when the lease is not valid
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::optional<std::int64_t> id(core::Timestamp now) const;
 
 private:
-    static constexpr double margin = 0.1; //!< Share of the length kept back for clocks that run unevenly
+    static constexpr double safetyMargin =
+        0.1; //!< Share of the duration subtracted to allow for clocks that run at different rates
 
-    std::int64_t    m_id{0};        //!< The store's id; 0 for none
-    core::Timestamp m_validUntil{}; //!< Nothing may be done from here on
+    std::int64_t    m_id{0};        //!< Identifier of the lease in the store; 0 for none
+    core::Timestamp m_validUntil{}; //!< Time from which the holder must not act on the lease
 };
 
 } // namespace sailpath::state
--- a/src/sailpath/state/Backoff.cpp
+++ b/src/sailpath/state/Backoff.cpp
@@ -5,29 +5,29 @@
 namespace sailpath::state
 {
 ////////////////////////////////////////////////////////////
-Backoff::Backoff(core::Duration first, core::Duration longest) :
-m_minWait(first),
-m_maxWait(longest),
-m_last(first)
+Backoff::Backoff(core::Duration minWait, core::Duration maxWait) :
+m_minWait(minWait),
+m_maxWait(maxWait),
+m_base(minWait)
 {
 }
 
 ////////////////////////////////////////////////////////////
 core::Duration Backoff::next(core::Random& random)
 {
-    const auto most = std::min(m_maxWait, m_last * 3);
-    const auto spread = static_cast<double>((most - m_minWait).count());
-    m_last = m_minWait + core::Duration{static_cast<std::int64_t>(spread * random.unit())};
-    // Growth must not hinge on luck, so the next range grows at least by half.
-    const core::Duration wait = m_last;
-    m_last = std::max(m_last, most / 2);
+    const auto upperBound = std::min(m_maxWait, m_base * 3);
+    const auto range = static_cast<double>((upperBound - m_minWait).count());
+    m_base = m_minWait + core::Duration{static_cast<std::int64_t>(range * random.unit())};
+    // The next upper bound is at least 1.5 times this one, even after a short random wait.
+    const core::Duration wait = m_base;
+    m_base = std::max(m_base, upperBound / 2);
     return wait;
 }
 
 ////////////////////////////////////////////////////////////
 void Backoff::reset()
 {
-    m_last = m_minWait;
+    m_base = m_minWait;
 }
 
 } // namespace sailpath::state
--- a/src/sailpath/state/HeldLease.cpp
+++ b/src/sailpath/state/HeldLease.cpp
@@ -7,7 +7,7 @@
 {
     m_id = id;
     m_validUntil =
-        sentAt + core::Duration{static_cast<std::int64_t>(static_cast<double>(length.count()) * (1.0 - margin))};
+        sentAt + core::Duration{static_cast<std::int64_t>(static_cast<double>(length.count()) * (1.0 - safetyMargin))};
 }
 
 ////////////////////////////////////////////////////////////
--- a/test/state/State.test.cpp
+++ b/test/state/State.test.cpp
@@ -14,7 +14,7 @@
 BOOST_AUTO_TEST_SUITE(State)
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(configurationNeverGoesBack)
+BOOST_AUTO_TEST_CASE(olderDocumentsNeverReplaceNewerOnes)
 {
     state::ConfigurationState configuration;
     BOOST_TEST(configuration.applyIfNewer({"a", "new", 7, false}));
@@ -28,7 +28,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(batchesBringAnotherUpToDate)
+BOOST_AUTO_TEST_CASE(batchesBringAnotherStateUpToDate)
 {
     state::ConfigurationState full;
     for (std::uint64_t i = 1; i <= 50; ++i)
@@ -49,7 +49,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aHolderSeesItsLeaseEndBeforeTheStoreDoes)
+BOOST_AUTO_TEST_CASE(aLeaseExpiresForItsHolderBeforeTheStore)
 {
     state::HeldLease lease;
     BOOST_TEST(!lease.isValid(start));
@@ -63,7 +63,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(backoffGrowsWithinBoundsAndIsSpread)
+BOOST_AUTO_TEST_CASE(backoffGrowsWithinItsBounds)
 {
     core::Random   random(3);
     state::Backoff backoff(200ms, 10s);
