--- a/include/sailpath/limits/QueueWaitLimit.hpp
+++ b/include/sailpath/limits/QueueWaitLimit.hpp
@@ -31,16 +31,12 @@
                                          core::Timestamp now) const;
 
 private:
-    static constexpr core::Duration standingAfter =
-        std::chrono::milliseconds{500}; //!< Age at which a queue counts as standing
-    static constexpr core::Duration drainedAfter =
-        std::chrono::milliseconds{100}; //!< Time without a queue after which it counts as drained
-    static constexpr core::Duration minWait =
-        std::chrono::milliseconds{20}; //!< Smallest limit, unless the configured bound is lower
+    static constexpr core::Duration standingAfter = std::chrono::milliseconds{500}; //!< Age of a standing queue
+    static constexpr core::Duration drainedAfter = std::chrono::milliseconds{100};  //!< Idle time that ends a queue
+    static constexpr core::Duration minWait = std::chrono::milliseconds{20}; //!< Least limit, if configured allows
 
-    core::Timestamp m_queuedSince{
-        core::Timestamp::max()};      //!< Start of the present queue; the maximum when there is none
-    core::Timestamp m_lastQueuedAt{}; //!< Last time at which the queue was not empty
+    core::Timestamp m_queuedSince{core::Timestamp::max()}; //!< Start of the present queue; the maximum for none
+    core::Timestamp m_lastQueuedAt{};                      //!< Last time at which the queue was not empty
 };
 
 } // namespace sailpath::limits
--- a/include/sailpath/membership/MemberTable.hpp
+++ b/include/sailpath/membership/MemberTable.hpp
@@ -18,8 +18,7 @@
 ////////////////////////////////////////////////////////////
 struct MembershipSettings
 {
-    core::Duration suspicionTimeout{
-        std::chrono::seconds{4}}; //!< Time after which a suspected or leaving member counts as dead
+    core::Duration suspicionTimeout{std::chrono::seconds{4}};  //!< From suspected or leaving to dead
     core::Duration deadRetention{std::chrono::minutes{10}};    //!< Time after which a dead member is removed
     core::Duration deadRetryInterval{std::chrono::seconds{5}}; //!< Interval between attempts to contact a dead member
     double         sendFactor{3.0}; //!< Each claim is sent ceil(sendFactor x log2(members + 1)) times
--- a/include/sailpath/routing/Candidate.hpp
+++ b/include/sailpath/routing/Candidate.hpp
@@ -9,11 +9,10 @@
 ////////////////////////////////////////////////////////////
 struct Candidate
 {
-    std::size_t server{0};      //!< Index of the server in the pool
-    double      finishMs{0};    //!< Estimated time until the server's answer, in milliseconds
-    unsigned    ownInFlight{0}; //!< Requests of this node in flight at the server
-    double      reportedInFlight{
-        0}; //!< Requests in flight by the last report, not discounted by its age; 0 before the first report
+    std::size_t server{0};           //!< Index of the server in the pool
+    double      finishMs{0};         //!< Estimated time until the server's answer, in milliseconds
+    unsigned    ownInFlight{0};      //!< Requests of this node in flight at the server
+    double      reportedInFlight{0}; //!< Requests in flight by the last report, not aged; 0 before the first
 };
 
 } // namespace sailpath::routing
--- a/include/sailpath/routing/LoadSettings.hpp
+++ b/include/sailpath/routing/LoadSettings.hpp
@@ -9,10 +9,9 @@
 ////////////////////////////////////////////////////////////
 struct LoadSettings
 {
-    double usualWorkWeight{0.03}; //!< Weight of a new sample in the moving average of the usual work
-    double recentWorkWeight{
-        0.3}; //!< Weight of a new sample in the moving average of the recent work, which shows peaks
-    double         peakRatio{2.5}; //!< Ratio of recent to usual work above which the recent work is used
+    double         usualWorkWeight{0.03}; //!< Weight of a new sample in the usual work, a moving average
+    double         recentWorkWeight{0.3}; //!< Weight of a new sample in the recent work, which shows peaks
+    double         peakRatio{2.5};        //!< Ratio to the usual work above which the recent work is used
     core::Duration reportHalfLife{std::chrono::milliseconds{20}}; //!< Age at which the weight of a report is one half
     bool           useReports{true};                              //!< Whether the estimate uses load reports
     bool           useOldestAge{true}; //!< Whether the estimate uses the age of unanswered requests
--- a/include/sailpath/routing/ServerHealth.hpp
+++ b/include/sailpath/routing/ServerHealth.hpp
@@ -22,13 +22,11 @@
 ////////////////////////////////////////////////////////////
 struct HealthSettings
 {
-    unsigned       failuresToEject{3}; //!< Failures in a row that eject a server
-    core::Duration firstEjection{
-        std::chrono::milliseconds{500}}; //!< Length of the first ejection; doubles with each further one
-    core::Duration maxEjection{std::chrono::seconds{8}};  //!< Longest ejection
-    core::Duration rampDuration{std::chrono::seconds{2}}; //!< Time from the return of a server to its full share
-    core::Duration drainTimeout{
-        std::chrono::minutes{10}}; //!< Time after the last notice of draining at which the notice expires
+    unsigned       failuresToEject{3};                            //!< Failures in a row that eject a server
+    core::Duration firstEjection{std::chrono::milliseconds{500}}; //!< First ejection; each further one doubles
+    core::Duration maxEjection{std::chrono::seconds{8}};          //!< Longest ejection
+    core::Duration rampDuration{std::chrono::seconds{2}};  //!< Time from the return of a server to its full share
+    core::Duration drainTimeout{std::chrono::minutes{10}}; //!< Lifetime of a notice of draining
 };
 
 ////////////////////////////////////////////////////////////
--- a/include/sailpath/state/HeldLease.hpp
+++ b/include/sailpath/state/HeldLease.hpp
@@ -43,8 +43,7 @@
     [[nodiscard]] std::optional<std::int64_t> id(core::Timestamp now) const;
 
 private:
-    static constexpr double safetyMargin =
-        0.1; //!< Share of the duration subtracted to allow for clocks that run at different rates
+    static constexpr double safetyMargin = 0.1; //!< Share of the duration withheld for clock drift
 
     std::int64_t    m_id{0};        //!< Identifier of the lease in the store; 0 for none
     core::Timestamp m_validUntil{}; //!< Time from which the holder must not act on the lease
