--- a/src/sailpath/node/Pool.cpp
+++ b/src/sailpath/node/Pool.cpp
@@ -188,7 +188,7 @@
         there.limit.recordRejection(now);
         if (outcome.comeBack.count() > 0)
             there.health.recordBackOff(now + outcome.comeBack);
-        if (there.health.ejected())
+        if (there.health.isEjected())
             learnFailure(there, now);
         break;
     case retries::AttemptResult::Failed:
@@ -327,7 +327,7 @@
     for (const auto& server : m_servers)
     {
         inForce += server->removed ? 0 : 1;
-        ejected += !server->removed && server->health.ejected() ? 1 : 0;
+        ejected += !server->removed && server->health.isEjected() ? 1 : 0;
     }
     return static_cast<double>(ejected + 1) <= ejectableShare * static_cast<double>(inForce);
 }
@@ -364,7 +364,7 @@
 ////////////////////////////////////////////////////////////
 void Pool::learnAnswer(Server& server, const Attempted& attempt, core::Timestamp now)
 {
-    if (server.health.ejected())
+    if (server.health.isEjected())
         server.load.resetWork();
     const core::Duration latency = now - attempt.sentAt;
     double&              usual = classWork(attempt.priority);
--- a/src/sailpath/routing/ServerHealth.cpp
+++ b/src/sailpath/routing/ServerHealth.cpp
@@ -114,7 +114,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool ServerHealth::ejected() const
+bool ServerHealth::isEjected() const
 {
     return m_ejected;
 }
--- a/src/sailpath/routing/ServerLoad.cpp
+++ b/src/sailpath/routing/ServerLoad.cpp
@@ -44,8 +44,8 @@
     // Time in the server's queue is not work: dividing by the load per slot
     // ahead of the request removes the queueing time from the sample.
     const double others = m_report ? m_report->others : 0.0;
-    const double present = others + static_cast<double>(m_sentAt.size()) + 1.0;
-    const double queueFactor = std::max(1.0, present / m_slots);
+    const double requestsAtServer = others + static_cast<double>(m_sentAt.size()) + 1.0;
+    const double queueFactor = std::max(1.0, requestsAtServer / m_slots);
     const double sample = std::max(0.05, (core::toMilliseconds(latency) - m_roundTrip) / queueFactor);
     const double ratio = sample / expected;
     m_recentRatio += m_settings.recentWorkWeight * (ratio - m_recentRatio);
@@ -108,10 +108,10 @@
 ////////////////////////////////////////////////////////////
 double ServerLoad::finishMilliseconds(core::Timestamp now, double expectedOthers, double work) const
 {
-    const double present = occupancy(now, expectedOthers) + 1.0;
+    const double requestsAtServer = occupancy(now, expectedOthers) + 1.0;
     // Below one request per slot the server has no queue, but a server with
     // more requests is more likely to have one when the request arrives.
-    const double perSlot = present / m_slots;
+    const double perSlot = requestsAtServer / m_slots;
     const double queueFactor = perSlot <= 1.0 ? 1.0 + 0.25 * perSlot * perSlot : 0.25 + perSlot;
     return m_roundTrip + workMilliseconds(now, work) * queueFactor;
 }
