--- a/include/sailpath/node/Prober.hpp
+++ b/include/sailpath/node/Prober.hpp
@@ -3,7 +3,7 @@
 #include <sailpath/config/Workspace.hpp>
 #include <sailpath/core/StringMap.hpp>
 #include <sailpath/core/Time.hpp>
-#include <sailpath/limits/MeasuringBudget.hpp>
+#include <sailpath/limits/ProbeTimeBudget.hpp>
 #include <sailpath/node/ControlAction.hpp>
 #include <sailpath/node/ControllerSettings.hpp>
 #include <sailpath/node/LeaseAnswer.hpp>
@@ -86,7 +86,7 @@
         unsigned                                   group{0}; //!< Number of the probe group
         std::vector<std::shared_ptr<const Target>> servers;  //!< Servers of all services
         std::size_t next{0}; //!< Index of the next server to probe, modulo the number of servers
-        std::optional<limits::MeasuringBudget> budget; //!< Budget account while the group is held
+        std::optional<limits::ProbeTimeBudget> budget; //!< Budget account while the group is held
     };
 
     struct Group
--- a/src/sailpath/limits/ConcurrencyLimit.cpp
+++ b/src/sailpath/limits/ConcurrencyLimit.cpp
@@ -5,29 +5,29 @@
 namespace sailpath::limits
 {
 ////////////////////////////////////////////////////////////
-ConcurrencyLimit::ConcurrencyLimit(unsigned slots, unsigned most, ConcurrencySettings settings) :
+ConcurrencyLimit::ConcurrencyLimit(unsigned slots, unsigned maxLimit, ConcurrencySettings settings) :
 m_slots(slots),
-m_most(most),
+m_maxLimit(maxLimit),
 m_settings(settings),
 m_limit(slots)
 {
 }
 
 ////////////////////////////////////////////////////////////
-void ConcurrencyLimit::answered(double occupancy, unsigned own, core::Timestamp now)
+void ConcurrencyLimit::recordSuccess(double occupancy, unsigned ownInFlight, core::Timestamp now)
 {
-    if (occupancy > m_settings.fullness * m_slots)
+    if (occupancy > m_settings.overloadRatio * m_slots)
     {
         decrease(now);
         return;
     }
-    // Grow only a limit that is in use, or it would grow without a reason.
-    if (own + 1.0 >= m_limit * 0.5)
-        m_limit = std::min(m_most, m_limit + m_settings.growth / std::max(1.0, m_limit));
+    // Only a limit that is at least half used grows; answers say nothing about an unused one.
+    if (ownInFlight + 1.0 >= m_limit * 0.5)
+        m_limit = std::min(m_maxLimit, m_limit + m_settings.increaseStep / std::max(1.0, m_limit));
 }
 
 ////////////////////////////////////////////////////////////
-void ConcurrencyLimit::shed(core::Timestamp now)
+void ConcurrencyLimit::recordRejection(core::Timestamp now)
 {
     decrease(now);
 }
@@ -43,8 +43,8 @@
 {
     if (now < m_nextDecrease)
         return;
-    m_limit = std::max(m_settings.least, m_limit * m_settings.backoff);
-    m_nextDecrease = now + m_settings.pause;
+    m_limit = std::max(m_settings.minLimit, m_limit * m_settings.decreaseFactor);
+    m_nextDecrease = now + m_settings.decreaseInterval;
 }
 
 } // namespace sailpath::limits
--- a/src/sailpath/node/Pool.cpp
+++ b/src/sailpath/node/Pool.cpp
@@ -136,10 +136,10 @@
         const Server& server = *m_servers[i];
         if (server.removed || i == query.excluded)
             continue;
-        const routing::Standing standing = server.health.standing(query.now);
-        if (standing == routing::Standing::Trial && trialAllowed(query))
+        const routing::Availability standing = server.health.availability(query.now);
+        if (standing == routing::Availability::Trial && trialAllowed(query))
             return {ChoiceFailure::None, i};
-        if (standing != routing::Standing::Healthy && standing != routing::Standing::Ramping)
+        if (standing != routing::Availability::Healthy && standing != routing::Availability::Ramping)
             continue;
         anyAvailable = true;
         m_limitSum += limitOf(server, query.now);
@@ -161,9 +161,9 @@
 void Pool::startAttempt(std::size_t server, core::Timestamp now)
 {
     Server& chosen = *m_servers[server];
-    if (chosen.health.standing(now) == routing::Standing::Trial)
-        chosen.health.trialSent();
-    chosen.load.sent(now);
+    if (chosen.health.availability(now) == routing::Availability::Trial)
+        chosen.health.recordTrialSent();
+    chosen.load.recordSent(now);
     ++m_ownInFlight;
     ++m_counters.attempts;
 }
@@ -172,12 +172,12 @@
 bool Pool::endAttempt(std::size_t server, const AttemptInfo& attempt, const Outcome& outcome, core::Timestamp now)
 {
     Server& attempted = *m_servers[server];
-    attempted.load.ended(attempt.sentAt);
+    attempted.load.recordEnded(attempt.sentAt);
     --m_ownInFlight;
     if (outcome.report)
         recordLoad(attempted, *outcome.report, now);
     const bool carriesStatus = outcome.report || outcome.draining;
-    const bool startedDraining = carriesStatus && attempted.health.draining(outcome.draining, now);
+    const bool startedDraining = carriesStatus && attempted.health.recordDraining(outcome.draining, now);
 
     switch (outcome.result)
     {
@@ -185,10 +185,10 @@
         recordAnswer(attempted, attempt, now);
         break;
     case retries::AttemptResult::Shed:
-        attempted.limit.shed(now);
+        attempted.limit.recordRejection(now);
         if (outcome.retryAfter.count() > 0)
-            attempted.health.backOff(now + outcome.retryAfter);
-        if (attempted.health.ejected())
+            attempted.health.recordBackOff(now + outcome.retryAfter);
+        if (attempted.health.isEjected())
             recordFailure(attempted, now);
         break;
     case retries::AttemptResult::Failed:
@@ -197,7 +197,7 @@
         recordFailure(attempted, now);
         break;
     case retries::AttemptResult::Abandoned:
-        attempted.health.trialAbandoned();
+        attempted.health.recordTrialAbandoned();
         break;
     }
     return startedDraining;
@@ -209,7 +209,7 @@
     if (Server* known = findServer(server))
     {
         recordLoad(*known, report, at);
-        (void)known->health.draining(draining, at);
+        (void)known->health.recordDraining(draining, at);
     }
 }
 
@@ -217,7 +217,7 @@
 void Pool::serverGone(std::string_view server, core::Timestamp now)
 {
     if (Server* known = findServer(server))
-        known->health.gone(now);
+        known->health.recordClosed(now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -239,7 +239,7 @@
     if (!m_settings.usePatience)
         return m_service.maxWait;
     m_patience.observe(m_queue.size() == 0, now);
-    return m_patience.longest(m_service.maxWait, meanLatency(), now);
+    return m_patience.maxWait(m_service.maxWait, meanLatency(), now);
 }
 
 ////////////////////////////////////////////////////////////
@@ -327,7 +327,7 @@
     for (const auto& server : m_servers)
     {
         inForce += server->removed ? 0 : 1;
-        ejected += !server->removed && server->health.ejected() ? 1 : 0;
+        ejected += !server->removed && server->health.isEjected() ? 1 : 0;
     }
     return static_cast<double>(ejected + 1) <= ejectableShare * static_cast<double>(inForce);
 }
@@ -356,7 +356,7 @@
 ////////////////////////////////////////////////////////////
 void Pool::recordLoad(Server& server, routing::LoadReport report, core::Timestamp at)
 {
-    server.load.reported(report, at);
+    server.load.recordReport(report, at);
     if (const auto others = server.load.reportedOthers())
         m_meanOtherRequests += reportGain * (*others - m_meanOtherRequests);
 }
@@ -364,20 +364,20 @@
 ////////////////////////////////////////////////////////////
 void Pool::recordAnswer(Server& server, const AttemptInfo& attempt, core::Timestamp now)
 {
-    if (server.health.ejected())
+    if (server.health.isEjected())
         server.load.resetWork();
     const core::Duration latency = now - attempt.sentAt;
     double&              mean = meanWork(attempt.priority);
-    mean += workGain * (server.load.learn(latency, mean) - mean);
-    server.health.succeeded(now);
-    server.limit.answered(server.load.occupancy(now, m_meanOtherRequests), server.load.ownInFlight(), now);
+    mean += workGain * (server.load.recordLatency(latency, mean) - mean);
+    server.health.recordSuccess(now);
+    server.limit.recordSuccess(server.load.occupancy(now, m_meanOtherRequests), server.load.ownInFlight(), now);
     m_meanLatency += latencyGain * (core::toMilliseconds(latency) - m_meanLatency);
 }
 
 ////////////////////////////////////////////////////////////
 void Pool::recordFailure(Server& server, core::Timestamp now)
 {
-    if (server.health.failed(now, mayEject()))
+    if (server.health.recordFailure(now, mayEject()))
         ++m_counters.ejections;
 }
 
--- a/src/sailpath/node/Pool.hpp
+++ b/src/sailpath/node/Pool.hpp
@@ -3,7 +3,7 @@
 #include <sailpath/config/Service.hpp>
 #include <sailpath/core/Random.hpp>
 #include <sailpath/limits/ConcurrencyLimit.hpp>
-#include <sailpath/limits/WaitPatience.hpp>
+#include <sailpath/limits/QueueWaitLimit.hpp>
 #include <sailpath/limits/WaitQueue.hpp>
 #include <sailpath/node/DispatcherCounters.hpp>
 #include <sailpath/node/DispatcherSettings.hpp>
@@ -148,7 +148,7 @@
         for (const auto& server : m_servers)
         {
             if (!server->removed)
-                visit(server->target, server->health.standing(now));
+                visit(server->target, server->health.availability(now));
         }
     }
 
@@ -186,7 +186,7 @@
     std::vector<std::unique_ptr<Server>>   m_servers;              //!< Indexes stay valid during requests
     std::unique_ptr<routing::ServerChoice> m_choice;               //!< Strategy that chooses a server
     limits::WaitQueue                      m_queue;                //!< Queued requests
-    limits::WaitPatience m_patience;    //!< Adaptive longest wait; shortens while the queue does not empty
+    limits::QueueWaitLimit m_patience;    //!< Adaptive longest wait; shortens while the queue does not empty
     retries::RetryBudget m_retryBudget; //!< Budget of retries
     DispatcherCounters   m_counters;    //!< Counters since the start of the process
     double m_meanOtherRequests{0};      //!< Moving mean of the requests that other nodes have at a server, from reports
