--- a/src/programs/GatewayProgram.cpp
+++ b/src/programs/GatewayProgram.cpp
@@ -83,7 +83,8 @@
     gateway.readinessListen = settings.endpoint("readiness-listen");
     if (const auto metrics = settings.endpoints("metrics-listen"); !metrics.empty())
         gateway.metricsListen = metrics.front();
-    gateway.maxBufferedBytes = static_cast<std::uint64_t>(bufferShare * settings.number("memory-mb") * bytesPerMegabyte);
+    gateway.maxBufferedBytes =
+        static_cast<std::uint64_t>(bufferShare * settings.number("memory-mb") * bytesPerMegabyte);
     gateway.maxCallers = settings.whole("descriptors") / callersShare;
     gateway.balance.dataCentre = settings.text("data-centre");
     gateway.balance.retryRatio = settings.number("retry-ratio");
@@ -294,12 +295,15 @@
     gateway.setFleetContactSource([&] { return fleet.heardAt(); });
     gateway.onServerFailures([&](std::vector<std::uint32_t> servers) { fleet.serversFailed(std::move(servers)); });
     fleet.onFailures(
-        [&](std::vector<deployment::ServerFailure> failures)
-        { asio::post(context, [&gateway, failures = std::move(failures)] { gateway.receiveServerFailures(failures); }); });
+        [&](std::vector<deployment::ServerFailure> failures) {
+            asio::post(context,
+                       [&gateway, failures = std::move(failures)] { gateway.receiveServerFailures(failures); });
+        });
     gateway.onServerCrashes([&](deployment::CrashNews news) { fleet.crashed(std::move(news)); },
-                         [&](const deployment::Quarantine& quarantine) { fleet.quarantined(quarantine); });
-    fleet.onCrashes([&](deployment::CrashNews news)
-                    { asio::post(context, [&gateway, news = std::move(news)] { gateway.receiveServerCrashes(news); }); });
+                            [&](const deployment::Quarantine& quarantine) { fleet.quarantined(quarantine); });
+    fleet.onCrashes(
+        [&](deployment::CrashNews news)
+        { asio::post(context, [&gateway, news = std::move(news)] { gateway.receiveServerCrashes(news); }); });
     gateway.onServerLimits([&](std::vector<deployment::LimitNews> news) { fleet.limited(std::move(news)); });
     fleet.onLimits([&](std::vector<deployment::LimitNews> news)
                    { asio::post(context, [&gateway, news = std::move(news)] { gateway.receiveServerLimits(news); }); });
--- a/src/sailpath/gateway/Exchange.cpp
+++ b/src/sailpath/gateway/Exchange.cpp
@@ -51,7 +51,8 @@
 }
 
 ////////////////////////////////////////////////////////////
-OutgoingRequest Exchange::buildRequest(const deployment::Instance& instance, core::Duration left, const Dialect& dialect) const
+OutgoingRequest Exchange::buildRequest(const deployment::Instance& instance, core::Duration left,
+                                       const Dialect& dialect) const
 {
     const auto milliseconds =
         std::max<std::int64_t>(1, std::chrono::duration_cast<std::chrono::milliseconds>(left).count());
@@ -91,13 +92,14 @@
     if (!attemptLog.empty())
         attemptLog += ',';
     attemptLog += std::to_string(step.attempt) + ":" + step.instance->id + "@" +
-             std::to_string(static_cast<int>(core::toMilliseconds(now - firstByteAt))) +
-             "ms/expected=" + std::to_string(static_cast<int>(step.expectedMs)) +
-             "ms/report=" + std::to_string(static_cast<int>(step.reportAgeMs)) + "ms";
+                  std::to_string(static_cast<int>(core::toMilliseconds(now - firstByteAt))) +
+                  "ms/expected=" + std::to_string(static_cast<int>(step.expectedMs)) +
+                  "ms/report=" + std::to_string(static_cast<int>(step.reportAgeMs)) + "ms";
     if (step.leavingFor.count() > 0)
         attemptLog += "/leaving-for=" + std::to_string(static_cast<int>(core::toMilliseconds(step.leavingFor))) + "ms";
     if (step.backOffLeft.count() > 0)
-        attemptLog += "/back-off-left=" + std::to_string(static_cast<int>(core::toMilliseconds(step.backOffLeft))) + "ms";
+        attemptLog +=
+            "/back-off-left=" + std::to_string(static_cast<int>(core::toMilliseconds(step.backOffLeft))) + "ms";
 }
 
 ////////////////////////////////////////////////////////////
@@ -105,15 +107,15 @@
 {
     anyAttemptLost = anyAttemptLost || outcome.end == balance::AttemptEnd::Lost;
     attemptLog += ",end" + std::to_string(attempt) + "=" + std::string(nameOf(outcome.end)) + "/" +
-             std::to_string(outcome.status) + "@" +
-             std::to_string(static_cast<int>(core::toMilliseconds(now - firstByteAt))) + "ms";
+                  std::to_string(outcome.status) + "@" +
+                  std::to_string(static_cast<int>(core::toMilliseconds(now - firstByteAt))) + "ms";
 }
 
 ////////////////////////////////////////////////////////////
 void Exchange::recordEstimate(const balance::Refusal& refusal)
 {
     attemptLog += "best-expected=" + std::to_string(static_cast<int>(refusal.expectedMs)) +
-             "ms/report=" + std::to_string(static_cast<int>(refusal.reportAgeMs)) + "ms";
+                  "ms/report=" + std::to_string(static_cast<int>(refusal.reportAgeMs)) + "ms";
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/gateway/Exchange.hpp
+++ b/src/sailpath/gateway/Exchange.hpp
@@ -69,7 +69,7 @@
     /// \return Message with its id and whether its answer has a body
     ////////////////////////////////////////////////////////////
     [[nodiscard]] OutgoingRequest buildRequest(const deployment::Instance& instance, core::Duration left,
-                                    const Dialect& dialect) const;
+                                               const Dialect& dialect) const;
 
     ////////////////////////////////////////////////////////////
     /// \brief Get the identity by which a repeated request is recognised
--- a/src/sailpath/gateway/GatewayRequests.cpp
+++ b/src/sailpath/gateway/GatewayRequests.cpp
@@ -352,8 +352,8 @@
     exchange.recordAttempt(step, core::now());
     const auto connection = servers.acquire(step.instance, !step.repeatable);
     exchange.activeAttempts[step.attempt] = connection;
-    const auto ticket = step.ticket;
-    const auto attempt = step.attempt;
+    const auto            ticket = step.ticket;
+    const auto            attempt = step.attempt;
     priv::OutgoingRequest send = exchange.buildRequest(*step.instance, step.deadline - core::now(), dialect);
     send.atMostOnce = !step.repeatable;
     connection->send(
@@ -471,8 +471,8 @@
 {
     if (const auto quota = balancer.quota(exchange.workspace, core::now()))
         exchange.attemptLog += "quota=" + std::to_string(quota->perSecond) + "+" + std::to_string(quota->burst) +
-                               "/open=" + std::to_string(quota->admissionProbability) + "/here=" + std::to_string(quota->sentHere) +
-                               "/all=" + std::to_string(quota->sentByAll);
+                               "/open=" + std::to_string(quota->admissionProbability) +
+                               "/here=" + std::to_string(quota->sentHere) + "/all=" + std::to_string(quota->sentByAll);
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/gateway/ServerConnections.cpp
+++ b/src/sailpath/gateway/ServerConnections.cpp
@@ -24,9 +24,10 @@
     std::shared_ptr<ServerConnection> best;
     for (const auto& connection : list)
     {
-        const core::Duration limit =
-            recentlyUsed ? std::min(m_settings.maxIdleBeforeNonRepeatable, idleLimit(*connection)) : idleLimit(*connection);
-        const bool usable = connection->idle() && connection->idleTime() < limit &&
+        const core::Duration limit = recentlyUsed
+                                         ? std::min(m_settings.maxIdleBeforeNonRepeatable, idleLimit(*connection))
+                                         : idleLimit(*connection);
+        const bool           usable = connection->idle() && connection->idleTime() < limit &&
                             deployment::sameLife(connection->instance(), *instance);
         if (usable && (!best || connection->idleTime() < best->idleTime()))
             best = connection;
--- a/src/sailpath/node/Pool.hpp
+++ b/src/sailpath/node/Pool.hpp
@@ -187,11 +187,11 @@
     std::unique_ptr<routing::ServerChoice> m_choice;               //!< Strategy that chooses a server
     limits::WaitQueue                      m_queue;                //!< Queued requests
     limits::QueueWaitLimit m_patience;    //!< Adaptive longest wait; shortens while the queue does not empty
-    retries::RetryBudget m_retryBudget; //!< Budget of retries
-    DispatcherCounters   m_counters;    //!< Counters since the start of the process
-    double m_meanOtherRequests{0};      //!< Moving mean of the requests that other nodes have at a server, from reports
-    double m_meanLatency;               //!< Moving mean of the latency, milliseconds
-    std::array<double, 2> m_meanWork;   //!< Moving mean of the server time of a request by priority class, milliseconds
+    retries::RetryBudget   m_retryBudget; //!< Budget of retries
+    DispatcherCounters     m_counters;    //!< Counters since the start of the process
+    double m_meanOtherRequests{0};    //!< Moving mean of the requests that other nodes have at a server, from reports
+    double m_meanLatency;             //!< Moving mean of the latency, milliseconds
+    std::array<double, 2> m_meanWork; //!< Moving mean of the server time of a request by priority class, milliseconds
     unsigned              m_ownInFlight{0};       //!< This node's requests in flight at all servers
     double                m_limitSum{1};          //!< Sum of the limits of available servers at the last choice
     std::vector<routing::Candidate> m_candidates; //!< Candidates of the current choice; kept to reuse the memory
--- a/src/sailpath/replay/Simulation.cpp
+++ b/src/sailpath/replay/Simulation.cpp
@@ -171,12 +171,13 @@
                        {
                            if (std::exchange(node.idle[server], 0) == 0)
                                continue;
-                           node.dispatcher->visitServers(m_events.now(),
-                                                         [this, &node, &server](const auto& target, routing::Availability)
-                                                         {
-                                                             if (target->server == server)
-                                                                 node.dispatcher->serverGone(*target, m_events.now());
-                                                         });
+                           node.dispatcher->visitServers(
+                               m_events.now(),
+                               [this, &node, &server](const auto& target, routing::Availability)
+                               {
+                                   if (target->server == server)
+                                       node.dispatcher->serverGone(*target, m_events.now());
+                               });
                        }
                    });
 }
