--- a/include/sailpath/balance/Balancer.hpp
+++ b/include/sailpath/balance/Balancer.hpp
@@ -7,10 +7,10 @@
 #include <sailpath/balance/Step.hpp>
 #include <sailpath/balance/WorkspaceQuotas.hpp>
 #include <sailpath/core/Random.hpp>
-#include <sailpath/deployment/CrashNews.hpp>
-#include <sailpath/deployment/Declared.hpp>
+#include <sailpath/deployment/CrashReport.hpp>
+#include <sailpath/deployment/DeclaredState.hpp>
 #include <sailpath/deployment/KeyTable.hpp>
-#include <sailpath/deployment/LimitNews.hpp>
+#include <sailpath/deployment/LimitReport.hpp>
 #include <sailpath/deployment/RouteTable.hpp>
 
 #include <deque>
--- a/include/sailpath/balance/CrashLedger.hpp
+++ b/include/sailpath/balance/CrashLedger.hpp
@@ -2,7 +2,7 @@
 
 #include <sailpath/core/Time.hpp>
 #include <sailpath/deployment/Quarantine.hpp>
-#include <sailpath/deployment/ServerEnd.hpp>
+#include <sailpath/deployment/ServerCrash.hpp>
 
 #include <cstdint>
 #include <map>
--- a/include/sailpath/balance/WorkspaceQuotas.hpp
+++ b/include/sailpath/balance/WorkspaceQuotas.hpp
@@ -4,7 +4,7 @@
 #include <sailpath/balance/SharedRate.hpp>
 #include <sailpath/core/Random.hpp>
 #include <sailpath/deployment/Deployment.hpp>
-#include <sailpath/deployment/LimitNews.hpp>
+#include <sailpath/deployment/LimitReport.hpp>
 
 #include <cstdint>
 #include <optional>
--- a/include/sailpath/deployment/CrashNews.hpp
+++ b/include/sailpath/deployment/CrashReport.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <sailpath/deployment/ServerEnd.hpp>
+#include <sailpath/deployment/ServerCrash.hpp>
 
 #include <vector>
 
--- a/include/sailpath/fleet/FleetThread.hpp
+++ b/include/sailpath/fleet/FleetThread.hpp
@@ -1,10 +1,10 @@
 #pragma once
 
 #include <sailpath/adapters/settings/Endpoint.hpp>
-#include <sailpath/deployment/CrashNews.hpp>
-#include <sailpath/deployment/Declared.hpp>
-#include <sailpath/deployment/InstanceBook.hpp>
-#include <sailpath/deployment/LimitNews.hpp>
+#include <sailpath/deployment/CrashReport.hpp>
+#include <sailpath/deployment/DeclaredState.hpp>
+#include <sailpath/deployment/InstanceRegistry.hpp>
+#include <sailpath/deployment/LimitReport.hpp>
 #include <sailpath/deployment/ServerFailure.hpp>
 #include <sailpath/fleet/StartStages.hpp>
 #include <sailpath/fleet/Translator.hpp>
--- a/include/sailpath/gateway/Gateway.hpp
+++ b/include/sailpath/gateway/Gateway.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <sailpath/balance/Balancer.hpp>
-#include <sailpath/deployment/Declared.hpp>
+#include <sailpath/deployment/DeclaredState.hpp>
 #include <sailpath/gateway/Dialect.hpp>
 #include <sailpath/gateway/GatewaySettings.hpp>
 #include <sailpath/gateway/Metrics.hpp>
--- a/src/sailpath/deployment/InstanceBook.cpp
+++ b/src/sailpath/deployment/InstanceRegistry.cpp
@@ -1,4 +1,4 @@
-#include <sailpath/deployment/InstanceBook.hpp>
+#include <sailpath/deployment/InstanceRegistry.hpp>
 
 #include <algorithm>
 #include <utility>
--- a/src/sailpath/fleet/FleetThread.cpp
+++ b/src/sailpath/fleet/FleetThread.cpp
@@ -2,7 +2,7 @@
 
 #include <sailpath/adapters/links/LinkHub.hpp>
 #include <sailpath/core/Clock.hpp>
-#include <sailpath/deployment/InstanceBook.hpp>
+#include <sailpath/deployment/InstanceRegistry.hpp>
 #include <sailpath/fleet/QuarantineKeeper.hpp>
 
 #include <asio/executor_work_guard.hpp>
--- a/test/deployment/InstanceBook.test.cpp
+++ b/test/deployment/InstanceRegistry.test.cpp
@@ -1,5 +1,5 @@
 #include <sailpath/core/Random.hpp>
-#include <sailpath/deployment/InstanceBook.hpp>
+#include <sailpath/deployment/InstanceRegistry.hpp>
 
 #include <boost/test/unit_test.hpp>
 
--- a/test/deployment/ServerLives.test.cpp
+++ b/test/deployment/ServerLives.test.cpp
@@ -1,6 +1,6 @@
 // What a node believes of a server that starts again under the id that it had.
 
-#include <sailpath/deployment/InstanceBook.hpp>
+#include <sailpath/deployment/InstanceRegistry.hpp>
 
 #include <boost/test/unit_test.hpp>
 
--- a/test/support/DeclaredState.hpp
+++ b/test/support/DeclaredState.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include <sailpath/deployment/Declared.hpp>
+#include <sailpath/deployment/DeclaredState.hpp>
 
 #include <algorithm>
 
