--- a/include/sailpath/balance/Balancer.hpp
+++ b/include/sailpath/balance/Balancer.hpp
@@ -104,7 +104,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Put what is declared in force
     ////////////////////////////////////////////////////////////
-    void configure(const deployment::Declared& declared, core::Timestamp now);
+    void configure(const deployment::DeclaredState& declared, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Note when what is in force was last known to be what operators declare; null when it never was
@@ -170,9 +170,9 @@
     ////////////////////////////////////////////////////////////
     /// \brief Hear what other nodes heard from limited instances and sent there
     ////////////////////////////////////////////////////////////
-    void heardLimits(std::span<const deployment::LimitNews> news, core::Timestamp now);
+    void heardLimits(std::span<const deployment::LimitReport> news, core::Timestamp now);
 
-    [[nodiscard]] std::vector<deployment::LimitNews> takeLimitNews(); //!< For the other nodes, since the last call
+    [[nodiscard]] std::vector<deployment::LimitReport> takeLimitNews(); //!< For the other nodes, since the last call
 
     [[nodiscard]] std::vector<QuotaState>   quotas(core::Timestamp now) const; //!< Of workspaces that have one
     [[nodiscard]] std::optional<QuotaState> quota(std::string_view workspace, core::Timestamp now) const; //!< Of one
@@ -186,11 +186,11 @@
     ////////////////////////////////////////////////////////////
     void checked(const deployment::Instance& instance, CheckResult result, core::Timestamp now);
 
-    void heardCrashes(const deployment::CrashNews& news, core::Timestamp now); //!< Other nodes saw servers end
+    void heardCrashes(const deployment::CrashReport& news, core::Timestamp now); //!< Other nodes saw servers end
 
-    [[nodiscard]] bool                  looksUpRequests() const; //!< Arrivals and outcomes are to tell the identity
-    [[nodiscard]] deployment::CrashNews takeCrashNews();         //!< For the other nodes, since the last call
-    [[nodiscard]] const CrashLedger&    crashes() const;         //!< Requests that end servers
+    [[nodiscard]] bool                    looksUpRequests() const; //!< Arrivals and outcomes are to tell the identity
+    [[nodiscard]] deployment::CrashReport takeCrashNews();         //!< For the other nodes, since the last call
+    [[nodiscard]] const CrashLedger&      crashes() const;         //!< Requests that end servers
 
     [[nodiscard]] std::vector<deployment::Quarantine> takeQuarantined(); //!< New or wider since the last call
 
@@ -283,8 +283,9 @@
         core::Timestamp             lostAt;
     };
 
-    [[nodiscard]] bool takeAll(const deployment::Declared& declared, core::Timestamp now);     //!< A service is new
-    [[nodiscard]] bool takeChanged(const deployment::Declared& declared, core::Timestamp now); //!< A service is new
+    [[nodiscard]] bool takeAll(const deployment::DeclaredState& declared, core::Timestamp now); //!< A service is new
+    [[nodiscard]] bool takeChanged(const deployment::DeclaredState& declared,
+                                   core::Timestamp                  now); //!< A service is new
     const std::shared_ptr<ServicePool>& poolOf(const std::string& service, bool& added);
     void                                expectWork();
     /// \brief A request that came before the first configuration
@@ -372,11 +373,11 @@
     std::vector<WarmthNews>                                       m_warmth;      //!< Not taken
     std::vector<NoticeChange>                                     m_notices;     //!< Not taken
     std::vector<LimitChange>                                      m_limits;      //!< Not taken
-    std::vector<deployment::LimitNews>                            m_limitNews;   //!< Not taken, one for each instance
+    std::vector<deployment::LimitReport>                          m_limitNews;   //!< Not taken, one for each instance
     std::vector<Step>                                             m_steps;       //!< Decided, not taken
     CrashLedger                                                   m_crashes;     //!< Requests that end servers
     std::map<std::string, std::vector<LostRequest>>               m_checks;      //!< Under way, by instance
-    deployment::CrashNews                                         m_crashNews;   //!< Not taken
+    deployment::CrashReport                                       m_crashNews;   //!< Not taken
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/CrashLedger.hpp
+++ b/include/sailpath/balance/CrashLedger.hpp
@@ -38,9 +38,9 @@
 class CrashLedger
 {
 public:
-    void ended(const deployment::ServerEnd& end, core::Timestamp now); //!< A server ended under a request
-    void served(const core::ContentHash& content);                     //!< A request was answered, not with a failure
-    void answers(std::uint32_t server, core::Timestamp now);           //!< An instance said something
+    void ended(const deployment::ServerCrash& end, core::Timestamp now); //!< A server ended under a request
+    void served(const core::ContentHash& content);                       //!< A request was answered, not with a failure
+    void answers(std::uint32_t server, core::Timestamp now);             //!< An instance said something
 
     ////////////////////////////////////////////////////////////
     /// \brief Take over what the store holds; what it held before and holds no more is over
@@ -79,7 +79,7 @@
         core::Timestamp            last{}; //!< Of them
     };
 
-    [[nodiscard]] static bool follows(const Seen& last, const deployment::ServerEnd& end, core::Timestamp now);
+    [[nodiscard]] static bool follows(const Seen& last, const deployment::ServerCrash& end, core::Timestamp now);
     [[nodiscard]] bool        explained(std::uint32_t server, const core::ContentHash& content) const;
     [[nodiscard]] bool        shared(const core::ContentHash& content, const Evidence& evidence) const;
     void                      conclude(const core::ContentHash& content, core::Timestamp now);
--- a/include/sailpath/balance/ServicePool.hpp
+++ b/include/sailpath/balance/ServicePool.hpp
@@ -214,7 +214,7 @@
     ////////////////////////////////////////////////////////////
     [[nodiscard]] core::Duration shortestBackOff(core::Timestamp now) const;
     [[nodiscard]] std::shared_ptr<ServerView>
-                           find(std::uint32_t life) const; //!< By `lifeHash`; null when there is none
+                           find(std::uint32_t life) const; //!< By `instanceHash`; null when there is none
     [[nodiscard]] unsigned moreUrgent(unsigned rank, core::Timestamp now) const; //!< Ranks that sent requests of late
     [[nodiscard]] double   openness(core::Timestamp now) const; //!< Chance to be let to the most open limited instance
 
--- a/include/sailpath/balance/WorkspaceQuotas.hpp
+++ b/include/sailpath/balance/WorkspaceQuotas.hpp
@@ -70,9 +70,9 @@
     ///
     /// \return Whether it is about a workspace
     ////////////////////////////////////////////////////////////
-    bool heard(const deployment::LimitNews& news, core::Timestamp now);
+    bool heard(const deployment::LimitReport& news, core::Timestamp now);
 
-    void                                    takeNews(std::vector<deployment::LimitNews>& to); //!< Since the last call
+    void                                    takeNews(std::vector<deployment::LimitReport>& to); //!< Since the last call
     [[nodiscard]] bool                      any() const; //!< Some quota is in force
     [[nodiscard]] std::vector<QuotaState>   list(core::Timestamp now) const;
     [[nodiscard]] std::optional<QuotaState> state(std::string_view workspace, core::Timestamp now) const; //!< Of one
@@ -102,7 +102,7 @@
     unsigned                                 m_nodes{1};   //!< That share the quotas
     std::optional<core::Timestamp>           m_heardFleet; //!< Others could be heard then
     std::unordered_map<std::uint32_t, Quota> m_quotas;     //!< By hash of the workspace's name
-    std::vector<deployment::LimitNews>       m_news;       //!< Not taken
+    std::vector<deployment::LimitReport>     m_news;       //!< Not taken
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/core/Clock.hpp
+++ b/include/sailpath/core/Clock.hpp
@@ -5,12 +5,12 @@
 namespace sailpath::core
 {
 ////////////////////////////////////////////////////////////
-/// \brief The clock that all beliefs, ages, windows and deadlines go by
+/// \brief Read the clock that all ages, windows and deadlines are measured by
 ///
-/// It never goes back, and time in which the VM is suspended counts: what was
-/// believed before a suspension is as old afterwards as it is for everybody
-/// else. Timers of the event loop do not count that time, so whoever is woken
-/// by one, or by anything else, asks this clock what is due.
+/// The clock never goes back and counts the time in which the VM is suspended:
+/// information from before a suspension is as old afterwards as it is for all
+/// other nodes. Timers of the event loop do not count that time, so code that is
+/// woken by a timer, or by anything else, asks this clock what is due.
 ////////////////////////////////////////////////////////////
 [[nodiscard]] Timestamp now();
 
--- a/include/sailpath/core/ContentHash.hpp
+++ b/include/sailpath/core/ContentHash.hpp
@@ -10,10 +10,10 @@
 namespace sailpath::core
 {
 ////////////////////////////////////////////////////////////
-/// \brief What stands for some content: half of its SHA-256
+/// \brief Identifies content by the first half of its SHA-256
 ///
-/// Content is chosen by callers. With a hash that is not cryptographic one
-/// of them could choose his so that it stands for that of another.
+/// Callers choose the content. With a hash that is not cryptographic, a caller
+/// could choose content whose hash equals that of another caller's content.
 ////////////////////////////////////////////////////////////
 struct ContentHash
 {
@@ -22,7 +22,7 @@
     [[nodiscard]] std::string text() const; //!< 32 hexadecimal digits
 
     [[nodiscard]] static std::optional<ContentHash>
-    fromText(std::string_view text); //!< Null unless it is as `text` gives
+    fromText(std::string_view text); //!< Null unless it has the form that `text` returns
 
     friend bool operator==(const ContentHash&, const ContentHash&) = default;
     friend bool operator<(const ContentHash& left, const ContentHash& right)
@@ -32,7 +32,7 @@
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Hash several texts, told apart by their lengths; none is copied
+/// \brief Hash several texts without copying; each text's length is hashed too, so boundaries matter
 ////////////////////////////////////////////////////////////
 [[nodiscard]] ContentHash contentHash(std::span<const std::string_view> texts);
 
--- a/include/sailpath/core/Findings.hpp
+++ b/include/sailpath/core/Findings.hpp
@@ -17,7 +17,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Add one finding
     ///
-    /// \param place   Where it stands
+    /// \param place   Place of the error
     /// \param message What is wrong and what is expected
     ////////////////////////////////////////////////////////////
     void add(std::string place, std::string message);
@@ -28,22 +28,22 @@
     void append(const Findings& other);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Tell whether nothing was found
+    /// \brief Tell whether the collection has no findings
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool empty() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief All findings in the order in which they were added
+    /// \brief Get all findings in the order in which they were added
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::span<const Finding> all() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief One line of `place: message` per finding
+    /// \brief Format one line of `place: message` per finding
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::string text() const;
 
 private:
-    std::vector<Finding> m_findings; //!< In order of discovery
+    std::vector<Finding> m_findings; //!< Findings in the order in which they were added
 };
 
 } // namespace sailpath::core
--- a/include/sailpath/core/Random.hpp
+++ b/include/sailpath/core/Random.hpp
@@ -8,8 +8,8 @@
 ////////////////////////////////////////////////////////////
 /// \brief Seeded source of random numbers
 ///
-/// Every consumer gets its own, so that a replay with the same seed takes
-/// the same choices.
+/// Every consumer gets its own source, so that a replay with the same seed
+/// makes the same choices.
 ////////////////////////////////////////////////////////////
 class Random
 {
@@ -17,31 +17,31 @@
     ////////////////////////////////////////////////////////////
     /// \brief Create a source
     ///
-    /// \param seed Same seed, same sequence
+    /// \param seed Sources with the same seed give the same sequence
     ////////////////////////////////////////////////////////////
     explicit Random(std::uint64_t seed);
 
     ////////////////////////////////////////////////////////////
-    /// \brief A whole number in [0, bound)
+    /// \brief Draw a whole number from [0, bound)
     ///
     /// \param bound Exclusive upper bound, at least 1
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::size_t below(std::size_t bound);
 
     ////////////////////////////////////////////////////////////
-    /// \brief A number in [0, 1)
+    /// \brief Draw a number from [0, 1)
     ////////////////////////////////////////////////////////////
     [[nodiscard]] double unit();
 
     ////////////////////////////////////////////////////////////
-    /// \brief An exponentially distributed number
+    /// \brief Draw an exponentially distributed number
     ///
     /// \param mean Mean of the distribution
     ////////////////////////////////////////////////////////////
     [[nodiscard]] double exponential(double mean);
 
 private:
-    std::mt19937_64 m_engine; //!< Library generator, 64 bits
+    std::mt19937_64 m_engine; //!< 64-bit Mersenne Twister
 };
 
 } // namespace sailpath::core
--- a/include/sailpath/core/StringMap.hpp
+++ b/include/sailpath/core/StringMap.hpp
@@ -8,7 +8,7 @@
 namespace sailpath::core
 {
 ////////////////////////////////////////////////////////////
-/// \brief Hash for strings that looks up views without a copy
+/// \brief Hash for maps that are keyed by strings and look up views without a copy
 ////////////////////////////////////////////////////////////
 struct StringHash
 {
@@ -24,7 +24,7 @@
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Map keyed by strings that looks up views without a copy
+/// \brief Map that is keyed by strings and looks up views without a copy
 ////////////////////////////////////////////////////////////
 template <typename Value>
 using StringMap = std::unordered_map<std::string, Value, StringHash, std::equal_to<>>;
--- a/include/sailpath/core/Time.hpp
+++ b/include/sailpath/core/Time.hpp
@@ -6,15 +6,15 @@
 namespace sailpath::core
 {
 ////////////////////////////////////////////////////////////
-/// \brief Resolution of all times inside sailpath
+/// \brief Duration in microseconds, the resolution of all times in sailpath
 ////////////////////////////////////////////////////////////
 using Duration = std::chrono::microseconds;
 
 ////////////////////////////////////////////////////////////
-/// \brief Tag for the clock that callers of the decision logic supply
+/// \brief Tag of the clock whose readings callers pass to the decision logic
 ///
-/// The logic never reads a clock. Programs pass readings of the steady
-/// clock, tests and replays pass virtual time.
+/// The decision logic never reads a clock. Programs pass readings of
+/// `core::now`, tests and replays pass virtual time.
 ////////////////////////////////////////////////////////////
 struct ProcessClock
 {
@@ -23,11 +23,11 @@
     using duration = Duration;
     using time_point = std::chrono::time_point<ProcessClock, Duration>;
 
-    static constexpr bool is_steady = true; //!< Readings never go back; the standard's name
+    static constexpr bool is_steady = true; //!< Readings never go back; the name is that of the C++ standard
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief A reading of the process's clock, in microseconds
+/// \brief Reading of the process clock, in microseconds
 ////////////////////////////////////////////////////////////
 using Timestamp = std::chrono::time_point<ProcessClock, Duration>;
 
--- a/include/sailpath/deployment/Announcement.hpp
+++ b/include/sailpath/deployment/Announcement.hpp
@@ -7,12 +7,12 @@
 namespace sailpath::deployment
 {
 ////////////////////////////////////////////////////////////
-/// \brief What an instance says of itself
+/// \brief An instance's announcement of itself, as its entry in the store holds it
 ////////////////////////////////////////////////////////////
 struct Announcement
 {
-    Instance      instance;    //!< As it says
-    std::uint64_t sequence{0}; //!< Rises with what it says
+    Instance      instance;    //!< The instance, as announced
+    std::uint64_t sequence{0}; //!< Number of the announcement; rises within one life of the server
 };
 
 } // namespace sailpath::deployment
--- a/include/sailpath/deployment/CrashReport.hpp
+++ b/include/sailpath/deployment/CrashReport.hpp
@@ -7,12 +7,12 @@
 namespace sailpath::deployment
 {
 ////////////////////////////////////////////////////////////
-/// \brief What nodes tell each other of servers that ended under requests
+/// \brief Servers that ended while they ran requests, as nodes report them to each other
 ////////////////////////////////////////////////////////////
-struct CrashNews
+struct CrashReport
 {
-    std::vector<ServerEnd>         ends;   //!< Servers that ended, one entry for each request that ran there
-    std::vector<core::ContentHash> served; //!< Requests that were at such servers and have been answered since
+    std::vector<ServerCrash>       ends;   //!< One entry for each request that ran on a server that ended
+    std::vector<core::ContentHash> served; //!< Requests that ran on such servers and have been answered since
 
     [[nodiscard]] bool empty() const
     {
--- a/include/sailpath/deployment/DeclaredState.hpp
+++ b/include/sailpath/deployment/DeclaredState.hpp
@@ -13,20 +13,20 @@
 namespace sailpath::deployment
 {
 ////////////////////////////////////////////////////////////
-/// \brief What traffic is to be handled by: the operators' word and the servers'
+/// \brief State that the data path handles traffic by: the operators' deployment and the servers' announcements
 ////////////////////////////////////////////////////////////
-struct Declared
+struct DeclaredState
 {
-    std::shared_ptr<const Deployment> deployment;     //!< Null before the first is known
-    bool                              whole{true};    //!< `instances` is all there are; else what changed since
-    std::vector<Instance>             instances;      //!< To be believed in, leaving ones included
-    std::vector<Instance>             gone;           //!< Not believed in any more, as they were; applied first
-    unsigned                          nodes{1};       //!< Nodes that share budgets, at least
-    bool                              suspect{false}; //!< Instances that are missing may have been lost by the store
-    std::set<std::string>             evacuated;      //!< Data centres whose instances are to be sent nothing more
-    std::vector<Quarantine>           quarantines;    //!< Requests that are to be sent to no server, as the store says
-    std::vector<std::uint32_t>        members;        //!< Short hashes of all nodes heard of lately, this one included;
-                                                      //!< empty when it cannot tell whether there are others
+    std::shared_ptr<const Deployment> deployment; //!< Null until the first deployment is known
+    bool                  whole{true}; //!< `instances` is complete; otherwise it holds changes since the state before
+    std::vector<Instance> instances;   //!< Instances to use, draining ones included
+    std::vector<Instance> gone;        //!< Instances to drop, as last declared; applied before `instances`
+    unsigned              nodes{1};    //!< Lower bound of the nodes that share budgets
+    bool                  suspect{false}; //!< The store failed recently, so it may have lost entries of live instances
+    std::set<std::string> evacuated;      //!< Data centres whose instances get no more requests
+    std::vector<Quarantine>    quarantines; //!< Quarantined requests in the store, which are sent to no server
+    std::vector<std::uint32_t> members;     //!< Short hashes of all nodes heard of recently, this one included;
+                                            //!< empty when this node cannot tell whether others exist
 };
 
 } // namespace sailpath::deployment
--- a/include/sailpath/deployment/Deployment.hpp
+++ b/include/sailpath/deployment/Deployment.hpp
@@ -15,7 +15,7 @@
 struct SplitPart
 {
     std::string service;   //!< Name of the service
-    double      weight{1}; //!< Its share, relative to the other parts
+    double      weight{1}; //!< Share of the requests, relative to the other parts
 
     friend bool operator==(const SplitPart&, const SplitPart&) = default;
 };
@@ -25,72 +25,72 @@
 ////////////////////////////////////////////////////////////
 struct HostRoute
 {
-    std::string            name;                                   //!< Unique in the deployment
-    std::string            host;                                   //!< Host header, without a port
-    std::string            pathPrefix;                             //!< Begins and ends with a slash
-    bool                   repeatable{false};                      //!< Whether a request may run more than once
-    core::Duration         timeout{std::chrono::seconds{10}};      //!< Longest time until the final answer
-    core::Duration         targetLatency{std::chrono::seconds{1}}; //!< Time within which an answer is wanted
-    unsigned               priority{0};                            //!< Rank; 0 goes first
-    unsigned               attempts{1};                            //!< Servers that one request may be sent to
-    std::vector<SplitPart> parts;                                  //!< Services; never empty
-    bool                   anonymous{false};                       //!< Its requests need no key
+    std::string    name;                              //!< Unique in the deployment
+    std::string    host;                              //!< Value of the Host header, without a port
+    std::string    pathPrefix;                        //!< Begins and ends with a slash
+    bool           repeatable{false};                 //!< A request may run more than once
+    core::Duration timeout{std::chrono::seconds{10}}; //!< Longest time from a request's arrival to its final answer
+    core::Duration targetLatency{std::chrono::seconds{1}}; //!< Wanted time from a request's arrival to its answer
+    unsigned       priority{0};                            //!< Rank of the requests; 0 is the most urgent
+    unsigned       attempts{1};                            //!< Most servers that one request is sent to
+    std::vector<SplitPart> parts;                          //!< Services that share the requests; never empty
+    bool                   anonymous{false};               //!< Requests need no key
 
     friend bool operator==(const HostRoute&, const HostRoute&) = default;
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What holds for all instances of a service
+/// \brief Rules for all instances of a service
 ////////////////////////////////////////////////////////////
 struct ServiceRule
 {
     std::string    name;           //!< Unique in the deployment
-    std::string    healthPath;     //!< What a probe asks for
-    unsigned       connections{0}; //!< Connections an instance takes from all callers; 0 when not told
-    core::Duration warmUp{};       //!< How long an instance stays cold after it turned so
-    double         warmUpRate{0};  //!< Requests a second that a cold instance bears from all nodes; 0 for no limit
+    std::string    healthPath;     //!< Path that health probes request
+    unsigned       connections{0}; //!< Most connections to an instance from all callers; 0 when not declared
+    core::Duration warmUp{};       //!< Time that an instance stays cold from when it became so
+    double warmUpRate{0}; //!< Most requests per second to a cold instance from all nodes together; 0 for no limit
 
     friend bool operator==(const ServiceRule&, const ServiceRule&) = default;
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Who may send requests, how many, and how urgent they are
+/// \brief A customer: its keys, its request quota and the priority of its requests
 ////////////////////////////////////////////////////////////
 struct Workspace
 {
-    std::string              name;                 //!< Unique in the deployment; servers are told it
-    std::vector<std::string> keys;                 //!< Each belongs to one workspace only
-    std::optional<unsigned>  priority;             //!< Goes in place of that of the route; 0 goes first
-    double                   requestsPerSecond{0}; //!< At servers, from all nodes together; 0 for no limit
-    double                   burst{0};             //!< And so many requests more
+    std::string              name;     //!< Unique in the deployment; sent to servers with each request
+    std::vector<std::string> keys;     //!< Keys of the workspace; each belongs to one workspace only
+    std::optional<unsigned>  priority; //!< Overrides the route's priority; 0 is the most urgent
+    double requestsPerSecond{0};       //!< Quota of requests sent to servers by all nodes together; 0 for no limit
+    double burst{0};                   //!< Requests allowed at once on top of the quota
 
     friend bool operator==(const Workspace&, const Workspace&) = default;
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What callers may send and how long they may take
+/// \brief Limits on the size and duration of callers' requests
 ////////////////////////////////////////////////////////////
 struct CallerLimits
 {
-    std::uint32_t  headBytes{16384};                   //!< Largest request head
-    std::uint64_t  bodyBytes{std::uint64_t{1} << 26U}; //!< Largest request body
+    std::uint32_t  headBytes{16384};                   //!< Largest request head, in bytes
+    std::uint64_t  bodyBytes{std::uint64_t{1} << 26U}; //!< Largest request body, in bytes
     core::Duration headTime{std::chrono::seconds{5}};  //!< Longest time for a head to arrive
-    core::Duration idleTime{std::chrono::seconds{60}}; //!< Longest rest, between requests or within a body
+    core::Duration idleTime{std::chrono::seconds{60}}; //!< Longest time without data, between requests or within a body
 
     friend bool operator==(const CallerLimits&, const CallerLimits&) = default;
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief All that operators declare, changed as a whole
+/// \brief All that operators declare; replaced as a whole
 ////////////////////////////////////////////////////////////
 struct Deployment
 {
-    std::uint64_t            version{0};   //!< Rises with each change
-    std::vector<HostRoute>   routes;       //!< In the order declared
-    std::vector<ServiceRule> services;     //!< In the order declared
-    std::vector<Workspace>   workspaces;   //!< With none, requests need no key
-    CallerLimits             limits;       //!< For callers
-    std::vector<std::string> unknownWords; //!< Read with care, as `PLACE=WORD`, since nobody here knows them
+    std::uint64_t            version{0};      //!< Rises with each change
+    std::vector<HostRoute>   routes;          //!< Routes in the order of declaration
+    std::vector<ServiceRule> services;        //!< Services in the order of declaration
+    std::vector<Workspace>   workspaces;      //!< When empty, requests need no key
+    CallerLimits             limits;          //!< Limits for callers
+    std::vector<std::string> unknownKeywords; //!< Unknown values, as `PLACE=WORD`; read in the safest way
 
     friend bool operator==(const Deployment&, const Deployment&) = default;
 };
--- a/include/sailpath/deployment/InstanceChanges.hpp
+++ b/include/sailpath/deployment/InstanceChanges.hpp
@@ -7,12 +7,12 @@
 namespace sailpath::deployment
 {
 ////////////////////////////////////////////////////////////
-/// \brief What changed of the instances that are believed in
+/// \brief Changes of the usable instances
 ////////////////////////////////////////////////////////////
 struct InstanceChanges
 {
-    std::vector<Instance> present; //!< New, or other than before
-    std::vector<Instance> gone;    //!< Not believed in any more, as they were
+    std::vector<Instance> present; //!< New or changed instances
+    std::vector<Instance> gone;    //!< Instances that are no longer usable, as last known
 
     [[nodiscard]] bool empty() const
     {
--- a/include/sailpath/deployment/InstanceRegistry.hpp
+++ b/include/sailpath/deployment/InstanceRegistry.hpp
@@ -16,105 +16,108 @@
 namespace sailpath::deployment
 {
 ////////////////////////////////////////////////////////////
-/// \brief How long instances are believed in whose entries vanished
+/// \brief Times for which instances are kept in use after their entries were removed from the store
 ////////////////////////////////////////////////////////////
-struct BeliefSettings
+struct InstanceRetentionSettings
 {
-    core::Duration belief{std::chrono::milliseconds{1100}}; //!< With most of their service, or beside failures of the
-                                                            //!< store; shorter than the time servers take to leave
-    core::Duration outage{std::chrono::seconds{2}};         //!< A copy not renewed for longer missed an outage
-    core::Duration reannounce{std::chrono::milliseconds{1800}}; //!< Live servers are back this soon after an outage
+    core::Duration retention{
+        std::chrono::milliseconds{1100}};                    //!< Retention when most of the service was removed or the
+                                                             //!< store failed; shorter than servers take to leave
+    core::Duration outageThreshold{std::chrono::seconds{2}}; //!< A copy not refreshed for longer counts as an outage
+    core::Duration reannounceWindow{
+        std::chrono::milliseconds{1800}}; //!< Time from the end of an outage by which live servers
+                                          //!< have announced themselves again
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Which instances may be given requests, by what they announce and when they vanish
+/// \brief Decides which instances may get requests, from their announcements and the removal of their entries
 ///
-/// A server that starts again under its id is another instance. What comes
-/// last is the newer life, unless that life is known to be over: the server's
-/// clock may have been set back in between, and a write of the earlier life may
-/// be done late.
+/// A server that restarts under its id is another instance. The announcement
+/// received last belongs to the newest life, unless its life is known to have
+/// ended: the server's clock may have been set back between two lives, and
+/// a write of an earlier life may complete late.
 ///
-/// An instance that drains never takes requests again. One whose entry
-/// vanishes is taken for leaving, unless the store failed callers shortly
-/// before or most of its service vanished with it: then it is believed in
-/// a little longer, as the store may have lost entries of live instances.
+/// An instance that drains never gets requests again. An instance whose entry
+/// is removed counts as leaving, unless the store failed shortly before or most
+/// of the service was removed with the entry: in these cases the instance is
+/// retained a little longer, as the store may have lost entries of live ones.
 /// When many entries, or most of a service, are missing after an outage, live
-/// servers get the time to announce themselves again; what is missing after it
-/// is gone.
+/// servers get time to announce themselves again; instances that are still
+/// missing at the end of that time are dropped.
 ////////////////////////////////////////////////////////////
-class InstanceBook
+class InstanceRegistry
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Start empty
+    /// \brief Create an empty registry
     ///
-    /// \param settings Times
+    /// \param settings Retention times
     ////////////////////////////////////////////////////////////
-    explicit InstanceBook(BeliefSettings settings);
+    explicit InstanceRegistry(InstanceRetentionSettings settings);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Note that the copy of the store was renewed; called before what the renewal removed
+    /// \brief Apply a refresh of the copy of the store; called before the removals that the refresh brought
     ///
-    /// \param before Age of the copy until then
-    /// \param now    Time
+    /// \param before Age of the copy before the refresh
+    /// \param now    Current time
     ////////////////////////////////////////////////////////////
-    void renewed(core::Duration before, core::Timestamp now);
+    void applyRefresh(core::Duration before, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
-    /// \brief An entry was written
+    /// \brief Apply an announcement that was written to the store
     ///
-    /// \return False when it is a late word, of an earlier life or an earlier one of this life
+    /// \return False when the announcement is stale: of an earlier life, or an earlier one of this life
     ////////////////////////////////////////////////////////////
-    bool announced(const Announcement& announcement);
+    bool applyAnnouncement(const Announcement& announcement);
 
-    void unreadable(std::string_view id, core::Timestamp now);    //!< Its entry names no server any more
-    void vanished(std::string_view id, core::Timestamp earliest); //!< An entry was removed, at that time or later
-    void settle(bool storeIll, core::Timestamp now);              //!< Drop those whose time is up
+    void applyUnreadableEntry(std::string_view id, core::Timestamp now); //!< Drop the instance
+    void applyRemoval(std::string_view id, core::Timestamp earliest); //!< An entry was removed at `earliest` or later
+    void expire(bool storeIll, core::Timestamp now);                  //!< Drop instances whose retention has ended
 
-    [[nodiscard]] InstanceChanges                takeChanges();   //!< Of those believed in, since the last call
-    [[nodiscard]] std::vector<Instance>          list() const;    //!< Those to be believed in, draining ones included
-    [[nodiscard]] std::optional<core::Timestamp> nextDue() const; //!< When `settle` is to be called
-    [[nodiscard]] std::uint64_t                  looked() const;  //!< Counts instances looked at
+    [[nodiscard]] InstanceChanges                takeChanges(); //!< Changes of the usable instances since the last call
+    [[nodiscard]] std::vector<Instance>          list() const;  //!< Usable instances, draining ones included
+    [[nodiscard]] std::optional<core::Timestamp> nextDue() const;         //!< Time at which to call `expire`
+    [[nodiscard]] std::uint64_t                  entriesExamined() const; //!< Entries examined so far
 
 private:
     struct Entry
     {
-        Announcement                   last;           //!< As it last said
-        bool                           drained{false}; //!< It said that it drains
-        std::optional<core::Timestamp> believeUntil;   //!< Its entry vanished; null while it stands
-        bool                           lapsed{false};  //!< It vanished with an outage of the store
-        std::optional<core::Timestamp> forgetAt;       //!< Not in force; kept to know late writes by
-        std::vector<std::uint64_t>     earlier;        //!< Starts of its lives that are over
+        Announcement                   last;                //!< Latest announcement
+        bool                           drained{false};      //!< This life has announced that it drains
+        std::optional<core::Timestamp> retainUntil;         //!< End of retention; null while the entry exists
+        bool                           lostInOutage{false}; //!< The entry was removed during an outage of the store
+        std::optional<core::Timestamp> forgetAt;     //!< When the tombstone expires; null while the instance is usable
+        std::vector<std::uint64_t>     earlierLives; //!< Starts (`born`) of the server's ended lives
     };
 
-    /// \brief Instances that are not known to leave
+    /// \brief Counts the instances of a service that are not known to be leaving
     struct Count
     {
         std::size_t all{0};
-        std::size_t vanished{0}; //!< Of these, entries that vanished
-        std::size_t lapsed{0};   //!< Of these, with an outage of the store
+        std::size_t removed{0};      //!< Instances whose entries were removed
+        std::size_t lostInOutage{0}; //!< Instances whose entries were removed during an outage of the store
     };
 
-    static void        begin(Entry& entry); //!< Of a new life
+    static void        startNewLife(Entry& entry); //!< Reset an entry for a new life
     void               count(const Entry& entry, bool in);
-    void               noteTold(const std::string& id, const Entry& entry, const std::optional<Instance>& before);
-    [[nodiscard]] bool mostVanished(const std::string& service) const;
-    [[nodiscard]] bool manyLapsed() const;
+    void               recordChange(const std::string& id, const Entry& entry, const std::optional<Instance>& before);
+    [[nodiscard]] bool mostRemoved(const std::string& service) const;
+    [[nodiscard]] bool manyLostInOutage() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Change an entry, with all that is counted and told of it
+    /// \brief Change an entry and update the counts, indexes and pending changes that depend on the entry
     ////////////////////////////////////////////////////////////
     template <typename Change>
     void change(const std::string& id, Entry& entry, Change apply);
 
-    BeliefSettings                                    m_settings;  //!< Times
-    std::map<std::string, Entry, std::less<>>         m_entries;   //!< By id
-    std::map<std::string, Count>                      m_counts;    //!< By service
-    std::set<std::string>                             m_waiting;   //!< Ids of entries that vanished and are believed in
-    std::set<std::pair<core::Timestamp, std::string>> m_left;      //!< Those not in force, by when they are forgotten
-    std::map<std::string, std::optional<Instance>>    m_changes;   //!< By id, as last taken; null: not believed in then
-    mutable std::uint64_t                             m_looked{0}; //!< Instances looked at
-    std::optional<core::Timestamp> m_lapseUntil; //!< After an outage: until then lapsed entries may come back
+    InstanceRetentionSettings                 m_settings; //!< Retention times
+    std::map<std::string, Entry, std::less<>> m_entries;  //!< Entries by server id
+    std::map<std::string, Count>              m_counts;   //!< Counts by service
+    std::set<std::string>                     m_retained; //!< Ids of retained instances, whose entries were removed
+    std::set<std::pair<core::Timestamp, std::string>> m_tombstones; //!< Expiry times and ids of tombstones
+    std::map<std::string, std::optional<Instance>>    m_changes;    //!< By id, as last taken; null: not usable then
+    mutable std::uint64_t                             m_entriesExamined{0}; //!< Entries examined so far
+    std::optional<core::Timestamp>                    m_reannounceUntil; //!< End of `reannounceWindow` after an outage
 };
 
 } // namespace sailpath::deployment
--- a/include/sailpath/deployment/KeyTable.hpp
+++ b/include/sailpath/deployment/KeyTable.hpp
@@ -23,12 +23,13 @@
     ////////////////////////////////////////////////////////////
     explicit KeyTable(std::shared_ptr<const Deployment> deployment);
 
-    [[nodiscard]] const Workspace* find(std::string_view key) const; //!< Null when nobody has the key
-    [[nodiscard]] bool             needed() const;                   //!< Requests are to carry a key
+    [[nodiscard]] const Workspace* find(std::string_view key) const; //!< Null when the key belongs to no workspace
+    [[nodiscard]] bool             needed() const;                   //!< Requests must carry a key
 
 private:
-    std::shared_ptr<const Deployment>                      m_deployment; //!< Owner of the workspaces
-    std::unordered_map<std::string_view, const Workspace*> m_byKey;      //!< Views of the deployment's texts
+    std::shared_ptr<const Deployment> m_deployment; //!< Owner of the workspaces
+    std::unordered_map<std::string_view, const Workspace*>
+        m_byKey; //!< Workspaces by key; the keys are views into `m_deployment`
 };
 
 } // namespace sailpath::deployment
--- a/include/sailpath/deployment/LimitReport.hpp
+++ b/include/sailpath/deployment/LimitReport.hpp
@@ -7,18 +7,18 @@
 namespace sailpath::deployment
 {
 ////////////////////////////////////////////////////////////
-/// \brief What a node heard from an instance of the requests that it takes, and what it sent there since it told last
+/// \brief A node's report of an instance's request limit and of the requests it sent there since its last report
 ///
-/// Or the same of a workspace: its quota, and what the node sent for it.
+/// Also reports a workspace: its quota, and the requests the node sent for it.
 ////////////////////////////////////////////////////////////
-struct LimitNews
+struct LimitReport
 {
-    std::uint32_t  node{0};      //!< Short hash of the node's address; 0 is this node
-    std::uint32_t  server{0};    //!< `lifeHash` of the instance, or `shortHash` of the workspace
-    double         perSecond{0}; //!< That it takes from all nodes together; infinite for everything
-    core::Duration ago{};        //!< From its word until this was told
-    double         sent{0};      //!< Requests of the node; of those before it was told, what still counts
-    double         doublings{0}; //!< How open the instance is to the node: binary logarithm of a request's chance
+    std::uint32_t  node{0};      //!< Short hash of the reporting node's address; 0 is this node
+    std::uint32_t  server{0};    //!< `instanceHash` of the instance, or `shortHash` of the workspace
+    double         perSecond{0}; //!< Limit for all nodes together, requests per second; infinite for no limit
+    core::Duration ago{};        //!< Time from the instance's statement of the limit to this report
+    double         sent{0};      //!< Requests sent since the last report, plus what still counts of earlier ones
+    double         doublings{0}; //!< Binary logarithm of the chance that the node's request is admitted to the instance
 };
 
 } // namespace sailpath::deployment
--- a/include/sailpath/deployment/RequestIdentity.hpp
+++ b/include/sailpath/deployment/RequestIdentity.hpp
@@ -7,11 +7,11 @@
 namespace sailpath::deployment
 {
 ////////////////////////////////////////////////////////////
-/// \brief What a request is known by when it comes again, at whatever node and under whatever id
+/// \brief Identifies a request that is sent again, to any node and under any request id
 ////////////////////////////////////////////////////////////
 struct RequestIdentity
 {
-    core::ContentHash content;   //!< Of host, method, target and body
+    core::ContentHash content;   //!< Hash of host, method, target and body
     std::uint32_t     caller{0}; //!< Short hash of the caller's address
 
     friend bool operator==(const RequestIdentity&, const RequestIdentity&) = default;
--- a/include/sailpath/deployment/RouteTable.hpp
+++ b/include/sailpath/deployment/RouteTable.hpp
@@ -25,18 +25,18 @@
     explicit RouteTable(std::shared_ptr<const Deployment> deployment);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Find the route of the host with the longest prefix that begins the path
+    /// \brief Find the host's route with the longest path prefix that matches the path
     ///
-    /// \param host Host header; a port is ignored, letters' case too
+    /// \param host Value of the Host header; the port and the letters' case are ignored
     /// \param path Path, with or without a query
     ///
-    /// \return Null when there is none
+    /// \return Null when no route matches
     ////////////////////////////////////////////////////////////
     [[nodiscard]] const HostRoute* find(std::string_view host, std::string_view path) const;
 
 private:
     std::shared_ptr<const Deployment>                              m_deployment; //!< Owner of the routes
-    std::unordered_map<std::string, std::vector<const HostRoute*>> m_byHost;     //!< Longest prefix first
+    std::unordered_map<std::string, std::vector<const HostRoute*>> m_byHost; //!< Routes by host, longest prefix first
 };
 
 } // namespace sailpath::deployment
--- a/include/sailpath/deployment/ServerCrash.hpp
+++ b/include/sailpath/deployment/ServerCrash.hpp
@@ -8,15 +8,15 @@
 namespace sailpath::deployment
 {
 ////////////////////////////////////////////////////////////
-/// \brief A node saw a server end while it ran a request
+/// \brief The end of a server while it ran a request, as a node observed it
 ////////////////////////////////////////////////////////////
-struct ServerEnd
+struct ServerCrash
 {
-    std::uint32_t   node{0};   //!< Short hash of the node's address; 0 is this node
-    std::uint32_t   server{0}; //!< `lifeHash` of the instance
-    RequestIdentity request;   //!< What ran there
-    core::Duration  ran{};     //!< From its sending to the server's end
-    core::Duration  ago{};     //!< From the server's end until this was told
+    std::uint32_t   node{0};   //!< Short hash of the observing node's address; 0 is this node
+    std::uint32_t   server{0}; //!< `instanceHash` of the instance
+    RequestIdentity request;   //!< Request that ran on the server
+    core::Duration  ran{};     //!< Time from sending the request to the server's end
+    core::Duration  ago{};     //!< Time from the server's end to this report
 };
 
 } // namespace sailpath::deployment
--- a/include/sailpath/deployment/ServerFailure.hpp
+++ b/include/sailpath/deployment/ServerFailure.hpp
@@ -6,16 +6,16 @@
 namespace sailpath::deployment
 {
 ////////////////////////////////////////////////////////////
-/// \brief A node saw an instance fail a request that it had taken
+/// \brief An instance's failure of a request that it had accepted, as a node observed it
 ////////////////////////////////////////////////////////////
 struct ServerFailure
 {
-    std::uint32_t node{0};   //!< Short hash of the node's address; 0 is this node
-    std::uint32_t server{0}; //!< `lifeHash` of the instance
+    std::uint32_t node{0};   //!< Short hash of the observing node's address; 0 is this node
+    std::uint32_t server{0}; //!< `instanceHash` of the instance
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief A name in four bytes; two of a thousand names are alike once in ten thousand fleets
+/// \brief Hash a name to 32 bits; among a thousand names, two collide in one of ten thousand fleets
 ////////////////////////////////////////////////////////////
 [[nodiscard]] std::uint32_t shortHash(std::string_view name);
 
--- a/include/sailpath/fleet/FleetThread.hpp
+++ b/include/sailpath/fleet/FleetThread.hpp
@@ -23,92 +23,91 @@
 namespace sailpath::fleet
 {
 ////////////////////////////////////////////////////////////
-/// \brief Settings of the control side
+/// \brief Settings of the control thread
 ////////////////////////////////////////////////////////////
 struct FleetSettings
 {
-    replication::ReplicaSettings replica; //!< Copy of the store
-    adapters::settings::Endpoint listen;  //!< Where peers connect
-    deployment::BeliefSettings   belief;  //!< In instances whose entries vanished
+    replication::ReplicaSettings          replica;   //!< Settings of the copy of the store
+    adapters::settings::Endpoint          listen;    //!< Address and port that peers connect to
+    deployment::InstanceRetentionSettings retention; //!< For instances whose entries were removed
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What the store was asked for one reason, since the start
+/// \brief Calls to the store of one kind since the start of the process
 ////////////////////////////////////////////////////////////
 struct StoreUse
 {
-    std::uint64_t times{0}; //!< Readings or watches begun; a reading of several pages takes as many calls
-    std::uint64_t bytes{0}; //!< Of the answers' bodies
+    std::uint64_t times{0}; //!< Reads or watches begun; a read of several pages takes one call for each
+    std::uint64_t bytes{0}; //!< Size of the answers' bodies
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Figures of the control side
+/// \brief State and counters of the control thread
 ////////////////////////////////////////////////////////////
 struct FleetStatus
 {
-    std::uint64_t revision{0};     //!< Of the copy
-    std::uint64_t version{0};      //!< Of the configuration in force
-    double        ageMs{-1};       //!< Of the copy; negative without one
-    unsigned      nodes{0};        //!< Known of
-    std::size_t   followers{0};    //!< Fed by this node
-    std::uint64_t storeCalls{0};   //!< Since the start
-    bool          watching{false}; //!< This node calls the store
-    StoreUse      readings;        //!< Of all items
-    StoreUse      watches;         //!< For changes
-    StartStages   start;           //!< Of this life
-    std::size_t   evacuated{0};    //!< Data centres whose instances are sent nothing
-    std::uint64_t rejected{0};     //!< Entries since the start that named no server
+    std::uint64_t revision{0};     //!< Store revision of the copy
+    std::uint64_t version{0};      //!< Version of the deployment in force
+    double        ageMs{-1};       //!< Age of the copy in milliseconds; negative when it was never up to date
+    unsigned      nodes{0};        //!< Nodes known
+    std::size_t   followers{0};    //!< Nodes that get updates from this node
+    std::uint64_t storeCalls{0};   //!< Calls to the store since the start
+    bool          watching{false}; //!< This node calls the store itself
+    StoreUse      readings;        //!< Reads of all items
+    StoreUse      watches;         //!< Watches for changes
+    StartStages   start;           //!< Times of the stages of this start
+    std::size_t   evacuated{0};    //!< Data centres whose instances get no requests
+    std::uint64_t rejected{0};     //!< Instance entries rejected since the start because they could not be read
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief The control thread: keeps the copy of the store, tells the data path what is declared
+/// \brief The control thread: keeps the copy of the store up to date and publishes the declared state to the data path
 ////////////////////////////////////////////////////////////
 class FleetThread
 {
 public:
     using MakeSource = std::function<std::unique_ptr<replication::ItemSource>(asio::io_context&)>;
-    using Published = std::function<void(deployment::Declared)>;
-    using HeardCrashes = std::function<void(deployment::CrashNews)>;
-    using HeardLimits = std::function<void(std::vector<deployment::LimitNews>)>;
-    using HeardFailures = std::function<void(std::vector<deployment::ServerFailure>)>;
+    using PublishHandler = std::function<void(deployment::DeclaredState)>;
+    using CrashHandler = std::function<void(deployment::CrashReport)>;
+    using LimitHandler = std::function<void(std::vector<deployment::LimitReport>)>;
+    using FailureHandler = std::function<void(std::vector<deployment::ServerFailure>)>;
 
     ////////////////////////////////////////////////////////////
     /// \brief Start the thread
     ///
-    /// \param makeSource Makes the store's port on the thread's loop
+    /// \param makeSource Creates the port to the store on the thread's event loop
     /// \param translator Outlives the thread
-    /// \param published  Called on the control thread with what is declared
+    /// \param onPublish  Called on the control thread with each declared state
     /// \param log        Outlives the thread
     ////////////////////////////////////////////////////////////
-    FleetThread(FleetSettings settings, const MakeSource& makeSource, const Translator& translator, Published published,
-                ports::EventLog& log);
+    FleetThread(FleetSettings settings, const MakeSource& makeSource, const Translator& translator,
+                PublishHandler onPublish, ports::EventLog& log);
 
     ~FleetThread();
     FleetThread(const FleetThread&) = delete;
     FleetThread& operator=(const FleetThread&) = delete;
 
-    [[nodiscard]] FleetStatus status() const; //!< From any thread
+    [[nodiscard]] FleetStatus status() const; //!< May be called from any thread
 
-    void serversFailed(std::vector<std::uint32_t> servers); //!< This node saw them fail; from any thread
-    void onFailures(HeardFailures heard); //!< Called on the control thread with what other nodes saw; set it once
+    void reportServerFailures(std::vector<std::uint32_t> servers); //!< Failures that this node saw; from any thread
+    void onFailures(FailureHandler handler); //!< Called on the control thread with other nodes' reports; set it once
 
-    void crashed(deployment::CrashNews news); //!< Seen by this node; from any thread
-    void onCrashes(HeardCrashes heard);       //!< What other nodes saw; as with `onFailures`
-    void limited(
-        std::vector<deployment::LimitNews> news); //!< Heard from servers, or sent there, by this node; from any thread
-    void onLimits(HeardLimits heard);             //!< The same of other nodes; as with `onFailures`
-    void quarantined(const deployment::Quarantine& quarantine); //!< Concluded by this node; from any thread
+    void reportCrashes(deployment::CrashReport report);              //!< Crashes that this node saw; from any thread
+    void onCrashes(CrashHandler handler);                            //!< Other nodes' reports; see `onFailures`
+    void reportLimits(std::vector<deployment::LimitReport> reports); //!< Limits and sends of this node; from any thread
+    void onLimits(LimitHandler handler);                             //!< Other nodes' reports; see `onFailures`
+    void reportQuarantine(const deployment::Quarantine& quarantine); //!< Concluded by this node; from any thread
 
     ////////////////////////////////////////////////////////////
-    /// \brief When the copy was last known to be the store's; null before the first time; from any thread
+    /// \brief Get the last time at which the copy matched the store; null before the first; from any thread
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::optional<core::Timestamp> provedAt() const;
 
-    [[nodiscard]] std::optional<core::Timestamp> heardAt() const; //!< A relay, or the store, could be heard then
+    [[nodiscard]] std::optional<core::Timestamp> heardAt() const; //!< Last contact with a relay or the store
 
 private:
     struct Impl;
-    std::unique_ptr<Impl> m_impl; //!< Loop and thread
+    std::unique_ptr<Impl> m_impl; //!< Event loop and thread
 };
 
 } // namespace sailpath::fleet
--- a/include/sailpath/fleet/QuarantineKeeper.hpp
+++ b/include/sailpath/fleet/QuarantineKeeper.hpp
@@ -16,80 +16,81 @@
 namespace sailpath::fleet
 {
 ////////////////////////////////////////////////////////////
-/// \brief The same moment on the node's clock and by the time of day
+/// \brief One moment on the process clock and on the wall clock
 ////////////////////////////////////////////////////////////
 struct Moment
 {
-    core::Timestamp now{};     //!< The clock of beliefs
-    std::int64_t    unixMs{0}; //!< Milliseconds since 1970; what nodes tell each other through the store
+    core::Timestamp now{};     //!< Process clock, see `core::now`
+    std::int64_t    unixMs{0}; //!< Wall clock, milliseconds since 1970; the form in the store
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Keeps quarantined requests in the store, so that they outlast every node
+/// \brief Keeps quarantined requests in the store, so that a quarantine outlasts every node
 ///
-/// All nodes conclude the same from the same news. The one that saw the last
-/// server end writes it; the others only when it does not appear, each after
-/// a time of its own, so that as a rule it is one call for the whole fleet. The
-/// entry comes back to all by their copies of the store, also to nodes that
-/// start. What operators remove is over at once; what has run out is removed by
-/// any node. Does no input or output.
+/// All nodes conclude the same from the same reports. The node that saw the last
+/// server end writes the entry at once. The others write only if the entry does
+/// not appear, each after a random delay, so that the fleet normally makes one
+/// call. All nodes, also starting ones, receive the entry through their copies
+/// of the store. A quarantine ends at once when operators remove its entry; an
+/// expired entry is removed by any node. The class does no input or output.
 ////////////////////////////////////////////////////////////
 class QuarantineKeeper
 {
 public:
     QuarantineKeeper(std::string node, std::uint64_t seed);
 
-    [[nodiscard]] static bool isQuarantine(std::string_view key); //!< An entry of the store is one of these
+    [[nodiscard]] static bool
+    isQuarantineKey(std::string_view key); //!< Tell whether an entry's key is that of a quarantine
 
-    void concluded(const deployment::Quarantine& quarantine,
-                   const Moment&                 at); //!< By this node; over: taken back by it
+    void addConclusion(const deployment::Quarantine& quarantine,
+                       const Moment&                 at); //!< Concluded by this node; withdrawn if it has ended
 
     ////////////////////////////////////////////////////////////
-    /// \brief Hear of an entry in the store
+    /// \brief Apply a written or removed entry of the store
     ///
-    /// \return False when it says nothing that can be read
+    /// \return False when the entry is unreadable or there are too many
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] bool changed(const replication::Item& item, const Moment& at);
+    [[nodiscard]] bool applyEntry(const replication::Item& item, const Moment& at);
 
     ////////////////////////////////////////////////////////////
-    /// \brief What is to be written now; one write is under way at a time
+    /// \brief Get the next write that is due; null while another write is under way
     ///
-    /// \return An item with revision 0 is to be created
+    /// \return Item to write; create it if its revision is 0
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::optional<replication::Item> nextWrite(const Moment& at);
 
-    void written(replication::WriteStatus status); //!< The write has ended
+    void finishWrite(replication::WriteStatus status); //!< End the write under way, whatever its result
 
-    [[nodiscard]] std::optional<core::Timestamp>      nextDue() const; //!< When `nextWrite` is to be called next
-    [[nodiscard]] std::vector<deployment::Quarantine> list() const;    //!< As the store has them
+    [[nodiscard]] std::optional<core::Timestamp>      nextDue() const; //!< Time at which to call `nextWrite`
+    [[nodiscard]] std::vector<deployment::Quarantine> list() const;    //!< Quarantines in the store
 
 private:
-    /// \brief An entry of the store
+    /// \brief A quarantine that is in the store
     struct Stored
     {
         deployment::Quarantine quarantine;
-        std::uint64_t          revision{0}; //!< Of the entry
-        core::Timestamp        removeAt{};  //!< By this node, if nobody has by then
+        std::uint64_t          revision{0}; //!< Revision of the entry
+        core::Timestamp        removeAt{};  //!< When this node removes the entry, unless another has
     };
 
-    /// \brief A conclusion that the store does not have yet
+    /// \brief A conclusion of this node that is not in the store yet
     struct Pending
     {
         deployment::Quarantine quarantine;
-        core::Timestamp        writeAt{}; //!< By this node, if nobody has by then
+        core::Timestamp        writeAt{}; //!< When this node writes the entry, unless another has
     };
 
-    void                         takenBack(const core::ContentHash& content, const Moment& at);
-    [[nodiscard]] core::Duration drawn(core::Duration most);
-    [[nodiscard]] bool           covered(const deployment::Quarantine& quarantine) const;
+    void                         withdraw(const core::ContentHash& content, const Moment& at);
+    [[nodiscard]] core::Duration randomDelay(core::Duration most);
+    [[nodiscard]] bool           isCovered(const deployment::Quarantine& quarantine) const;
     [[nodiscard]] std::string    encode(const deployment::Quarantine& quarantine, const Moment& at) const;
     [[nodiscard]] static bool    decode(const replication::Item& item, const Moment& at, deployment::Quarantine& to);
     [[nodiscard]] static std::string keyOf(const core::ContentHash& content);
 
-    std::string                          m_node;           //!< Name of this one
-    core::Random                         m_random;         //!< Parts the nodes
-    std::map<core::ContentHash, Stored>  m_stored;         //!< In the store
-    std::map<core::ContentHash, Pending> m_pending;        //!< Not there yet
+    std::string                          m_node;           //!< Name of this node
+    core::Random                         m_random;         //!< Source of random delays, seeded for each node
+    std::map<core::ContentHash, Stored>  m_stored;         //!< Quarantines in the store
+    std::map<core::ContentHash, Pending> m_pending;        //!< Conclusions that are not in the store yet
     bool                                 m_writing{false}; //!< A write is under way
 };
 
--- a/include/sailpath/fleet/StartStages.hpp
+++ b/include/sailpath/fleet/StartStages.hpp
@@ -7,19 +7,19 @@
 namespace sailpath::fleet
 {
 ////////////////////////////////////////////////////////////
-/// \brief When a node that starts got through the stages before it can serve
+/// \brief Times at which a starting node passed the stages before it can serve
 ///
-/// A slow start shows here whether peers, the copy or the reading of it took the time.
+/// Shows whether a slow start spent its time on connecting to peers, on getting the copy or on parsing it.
 ////////////////////////////////////////////////////////////
 struct StartStages
 {
-    core::Timestamp                born{};   //!< The control thread began
-    std::optional<core::Timestamp> linkAt;   //!< The first link to a peer was up; null when none was before the copy
-    std::optional<core::Timestamp> copyAt;   //!< The first copy was here
-    std::optional<core::Timestamp> usableAt; //!< Its configuration and entries were read
+    core::Timestamp                born{};   //!< Start of the control thread
+    std::optional<core::Timestamp> linkAt;   //!< First link to a peer; null when none was up before the first copy
+    std::optional<core::Timestamp> copyAt;   //!< Arrival of the first copy
+    std::optional<core::Timestamp> usableAt; //!< End of parsing the first copy's deployment and entries
 
     ////////////////////////////////////////////////////////////
-    /// \brief Milliseconds from the start to a stage; -1 when it was not reached
+    /// \brief Get the milliseconds from the start to a stage; -1 when the stage was not reached
     ////////////////////////////////////////////////////////////
     [[nodiscard]] double msTo(const std::optional<core::Timestamp>& stage) const
     {
--- a/include/sailpath/gateway/Gateway.hpp
+++ b/include/sailpath/gateway/Gateway.hpp
@@ -41,7 +41,7 @@
     Gateway(const Gateway&) = delete;
     Gateway& operator=(const Gateway&) = delete;
 
-    void configure(const deployment::Declared& declared); //!< Put what is declared in force
+    void configure(const deployment::DeclaredState& declared); //!< Put what is declared in force
 
     ////////////////////////////////////////////////////////////
     /// \brief Say where to learn when the configuration in force was last known to be the operators'
@@ -72,19 +72,19 @@
     /// \param news        Called on the loop's thread with what other nodes are to know
     /// \param quarantined Called on the loop's thread with each new or wider belief
     ////////////////////////////////////////////////////////////
-    void watchCrashes(std::function<void(deployment::CrashNews)>  news,
-                      std::function<void(deployment::Quarantine)> quarantined);
+    void watchCrashes(std::function<void(deployment::CrashReport)> news,
+                      std::function<void(deployment::Quarantine)>  quarantined);
 
-    void hearCrashes(const deployment::CrashNews& news); //!< Other nodes saw servers end under requests
+    void hearCrashes(const deployment::CrashReport& news); //!< Other nodes saw servers end under requests
 
     ////////////////////////////////////////////////////////////
     /// \brief Say who is to hear what limited servers said here and what was sent to them
     ///
     /// \param news Called on the loop's thread
     ////////////////////////////////////////////////////////////
-    void watchLimits(std::function<void(std::vector<deployment::LimitNews>)> news);
+    void watchLimits(std::function<void(std::vector<deployment::LimitReport>)> news);
 
-    void hearLimits(std::span<const deployment::LimitNews> news); //!< The same of other nodes
+    void hearLimits(std::span<const deployment::LimitReport> news); //!< The same of other nodes
 
     void addMetrics(std::function<std::string()> further); //!< Text that the metrics page ends with
 
--- a/src/programs/GatewayProgram.cpp
+++ b/src/programs/GatewayProgram.cpp
@@ -129,8 +129,8 @@
     fleet.replica.staleAfter = drain * 7 / 10;
     fleet.replica.watchWait = drain / 2;
     fleet.replica.watchPause = drain / 10;
-    fleet.belief.belief = drain * 11 / 20;
-    fleet.belief.outage = drain;
+    fleet.retention.retention = drain * 11 / 20;
+    fleet.retention.outageThreshold = drain;
     fleet.replica.seed = std::random_device{}();
     return fleet;
 }
@@ -287,21 +287,21 @@
         fleetSettings(settings),
         [&](asio::io_context& loop) { return surroundings.makeSource(loop, settings.endpoint("store")); },
         surroundings.translator,
-        [&](deployment::Declared declared)
+        [&](deployment::DeclaredState declared)
         { asio::post(context, [&gateway, declared = std::move(declared)] { gateway.configure(declared); }); },
         log);
     gateway.watchProof([&] { return fleet.provedAt(); });
     gateway.watchContact([&] { return fleet.heardAt(); });
-    gateway.watchFailures([&](std::vector<std::uint32_t> servers) { fleet.serversFailed(std::move(servers)); });
+    gateway.watchFailures([&](std::vector<std::uint32_t> servers) { fleet.reportServerFailures(std::move(servers)); });
     fleet.onFailures(
         [&](std::vector<deployment::ServerFailure> failures)
         { asio::post(context, [&gateway, failures = std::move(failures)] { gateway.hearFailures(failures); }); });
-    gateway.watchCrashes([&](deployment::CrashNews news) { fleet.crashed(std::move(news)); },
-                         [&](const deployment::Quarantine& quarantine) { fleet.quarantined(quarantine); });
-    fleet.onCrashes([&](deployment::CrashNews news)
+    gateway.watchCrashes([&](deployment::CrashReport news) { fleet.reportCrashes(std::move(news)); },
+                         [&](const deployment::Quarantine& quarantine) { fleet.reportQuarantine(quarantine); });
+    fleet.onCrashes([&](deployment::CrashReport news)
                     { asio::post(context, [&gateway, news = std::move(news)] { gateway.hearCrashes(news); }); });
-    gateway.watchLimits([&](std::vector<deployment::LimitNews> news) { fleet.limited(std::move(news)); });
-    fleet.onLimits([&](std::vector<deployment::LimitNews> news)
+    gateway.watchLimits([&](std::vector<deployment::LimitReport> news) { fleet.reportLimits(std::move(news)); });
+    fleet.onLimits([&](std::vector<deployment::LimitReport> news)
                    { asio::post(context, [&gateway, news = std::move(news)] { gateway.hearLimits(news); }); });
     gateway.addMetrics([&] { return controlMetrics(fleet.status(), log.leftOut()); });
     log.write(ports::Level::Info, "started", {{"dataCentre", settings.text("data-centre")}, {"port", gateway.port()}});
--- a/src/sailpath/balance/Balancer.cpp
+++ b/src/sailpath/balance/Balancer.cpp
@@ -76,7 +76,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::configure(const deployment::Declared& declared, core::Timestamp now)
+void Balancer::configure(const deployment::DeclaredState& declared, core::Timestamp now)
 {
     m_nodes = std::max(1U, declared.nodes);
     m_crashes.declare(declared.quarantines, now);
@@ -106,7 +106,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Balancer::takeAll(const deployment::Declared& declared, core::Timestamp now)
+bool Balancer::takeAll(const deployment::DeclaredState& declared, core::Timestamp now)
 {
     std::unordered_map<std::string, std::vector<deployment::Instance>> byService;
     for (const deployment::Instance& instance : declared.instances)
@@ -123,7 +123,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Balancer::takeChanged(const deployment::Declared& declared, core::Timestamp now)
+bool Balancer::takeChanged(const deployment::DeclaredState& declared, core::Timestamp now)
 {
     bool       added = false;
     const auto remove = [&](const deployment::Instance& instance)
@@ -249,7 +249,7 @@
 {
     ServerView& server = *attempt.server;
     if (outcome.end == AttemptEnd::Answered || outcome.end == AttemptEnd::NotRun)
-        m_crashes.answers(deployment::lifeHash(*server.instance()), now);
+        m_crashes.answers(deployment::instanceHash(*server.instance()), now);
     if (outcome.end == AttemptEnd::Answered)
         server.accepted(attempt.sentAt);
     learnLoad(*request.pool, server, outcome, now);
@@ -285,7 +285,7 @@
 void Balancer::noteFailure(ServicePool& pool, const ServerView& server, core::Timestamp now)
 {
     constexpr std::size_t most = 256; // Not taken; more only if nobody takes them
-    const std::uint32_t   hash = deployment::lifeHash(*server.instance());
+    const std::uint32_t   hash = deployment::instanceHash(*server.instance());
     witness(pool, {0, hash}, now);
     if (m_failures.size() < most)
         m_failures.push_back(hash);
@@ -517,7 +517,7 @@
         return;
     const auto server = pool->second->find(instance.id);
     // Connections to an earlier life are of no use to this one.
-    if (!server || !deployment::sameLife(*server->instance(), instance))
+    if (!server || !deployment::sameInstance(*server->instance(), instance))
         return;
     server->setIdleConnections(idle);
     server->setOpenConnections(open);
--- a/src/sailpath/balance/BalancerCrashes.cpp
+++ b/src/sailpath/balance/BalancerCrashes.cpp
@@ -46,8 +46,8 @@
         return;
     for (const LostRequest& one : lost)
     {
-        deployment::ServerEnd end;
-        end.server = deployment::lifeHash(instance);
+        deployment::ServerCrash end;
+        end.server = deployment::instanceHash(instance);
         end.request = one.identity;
         end.ran = one.lostAt - one.sentAt;
         end.ago = now - one.lostAt;
@@ -58,9 +58,9 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::heardCrashes(const deployment::CrashNews& news, core::Timestamp now)
+void Balancer::heardCrashes(const deployment::CrashReport& news, core::Timestamp now)
 {
-    for (const deployment::ServerEnd& end : news.ends)
+    for (const deployment::ServerCrash& end : news.ends)
         m_crashes.ended(end, now);
     for (const core::ContentHash& content : news.served)
         m_crashes.served(content);
@@ -128,7 +128,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-deployment::CrashNews Balancer::takeCrashNews()
+deployment::CrashReport Balancer::takeCrashNews()
 {
     return std::exchange(m_crashNews, {});
 }
--- a/src/sailpath/balance/BalancerLimits.cpp
+++ b/src/sailpath/balance/BalancerLimits.cpp
@@ -28,7 +28,7 @@
 ////////////////////////////////////////////////////////////
 void Balancer::noteLimit(const ServerView& server, double sent, core::Timestamp now)
 {
-    const std::uint32_t hash = deployment::lifeHash(*server.instance());
+    const std::uint32_t hash = deployment::instanceHash(*server.instance());
     const SharedLimit*  limit = server.limit(now);
     const double        word = limit != nullptr ? limit->word() : unlimited;
     const double        open = limit != nullptr ? limit->doublings(now) : 0;
@@ -42,9 +42,9 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::heardLimits(std::span<const deployment::LimitNews> news, core::Timestamp now)
+void Balancer::heardLimits(std::span<const deployment::LimitReport> news, core::Timestamp now)
 {
-    for (const deployment::LimitNews& one : news)
+    for (const deployment::LimitReport& one : news)
     {
         if (m_quotas.heard(one, now))
             continue;
@@ -73,7 +73,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<deployment::LimitNews> Balancer::takeLimitNews()
+std::vector<deployment::LimitReport> Balancer::takeLimitNews()
 {
     auto news = std::exchange(m_limitNews, {});
     m_quotas.takeNews(news);
--- a/src/sailpath/balance/CrashLedger.cpp
+++ b/src/sailpath/balance/CrashLedger.cpp
@@ -26,7 +26,7 @@
 } // namespace
 
 ////////////////////////////////////////////////////////////
-bool CrashLedger::follows(const Seen& last, const deployment::ServerEnd& end, core::Timestamp now)
+bool CrashLedger::follows(const Seen& last, const deployment::ServerCrash& end, core::Timestamp now)
 {
     const core::Timestamp sentAt = now - end.ago - end.ran;
     if (end.request.caller != last.caller)
@@ -37,7 +37,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void CrashLedger::ended(const deployment::ServerEnd& end, core::Timestamp now)
+void CrashLedger::ended(const deployment::ServerCrash& end, core::Timestamp now)
 {
     const core::ContentHash& content = end.request.content;
     std::erase_if(m_endedAt, [now](const auto& item) { return now - item.second > contradictedTo; });
--- a/src/sailpath/balance/ServicePool.cpp
+++ b/src/sailpath/balance/ServicePool.cpp
@@ -98,7 +98,7 @@
 {
     const auto known = m_byId.find(instance.id);
     // What a server that started again was and had before is over: it is met as a new one.
-    if (known != m_byId.end() && deployment::sameLife(*known->second->instance(), instance))
+    if (known != m_byId.end() && deployment::sameInstance(*known->second->instance(), instance))
     {
         if (*known->second->instance() != instance)
             known->second->update(std::move(instance), now);
@@ -112,14 +112,14 @@
                                              [&](const auto& known) { return known->instance()->id == id; });
     if (removed != m_removed.end())
     {
-        if (deployment::sameLife(*(*removed)->instance(), *server->instance()))
+        if (deployment::sameInstance(*(*removed)->instance(), *server->instance()))
             server->keepNotices((*removed)->notices());
         m_removed.erase(removed);
     }
     if (joins)
         server->joined();
     m_byId.emplace(id, server);
-    m_byHash[deployment::lifeHash(*server->instance())] = server;
+    m_byHash[deployment::instanceHash(*server->instance())] = server;
     if (evacuated.contains(server->instance()->dataCentre))
     {
         server->evacuate();
@@ -140,7 +140,7 @@
         return;
     known->second->retire();
     remember(known->second);
-    const auto hash = m_byHash.find(deployment::lifeHash(*known->second->instance()));
+    const auto hash = m_byHash.find(deployment::instanceHash(*known->second->instance()));
     if (hash != m_byHash.end() && hash->second == known->second)
         m_byHash.erase(hash);
     if (known->second->evacuated())
@@ -228,7 +228,7 @@
                                   core::Timestamp now)
 {
     const auto sameLife = [&](const std::shared_ptr<ServerView>& server)
-    { return deployment::sameLife(*server->instance(), instance); };
+    { return deployment::sameInstance(*server->instance(), instance); };
     if (const auto server = find(instance.id))
         return sameLife(server) ? server->noticed(notice, spread, now) : ServerNotice{};
     // Its entry may be gone only for a while: answers that are still under way speak for it.
--- a/src/sailpath/balance/ServicePoolPlacement.cpp
+++ b/src/sailpath/balance/ServicePoolPlacement.cpp
@@ -178,7 +178,8 @@
 {
     // No node alone sends a limited server more than it takes; the sum of all would flood it.
     const SharedLimit* limit = m_mayBeLimited ? server.limit(now) : nullptr;
-    return limit == nullptr || limit->lets(chance(wish.draw, deployment::lifeHash(*server.instance())), wish.rank, now);
+    return limit == nullptr ||
+           limit->lets(chance(wish.draw, deployment::instanceHash(*server.instance())), wish.rank, now);
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/balance/WorkspaceQuotas.cpp
+++ b/src/sailpath/balance/WorkspaceQuotas.cpp
@@ -150,7 +150,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool WorkspaceQuotas::heard(const deployment::LimitNews& news, core::Timestamp now)
+bool WorkspaceQuotas::heard(const deployment::LimitReport& news, core::Timestamp now)
 {
     const auto found = m_quotas.find(news.server);
     if (found == m_quotas.end())
@@ -166,7 +166,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void WorkspaceQuotas::takeNews(std::vector<deployment::LimitNews>& to)
+void WorkspaceQuotas::takeNews(std::vector<deployment::LimitReport>& to)
 {
     to.insert(to.end(), m_news.begin(), m_news.end());
     m_news.clear();
--- a/src/sailpath/deployment/InstanceRegistry.cpp
+++ b/src/sailpath/deployment/InstanceRegistry.cpp
@@ -7,108 +7,109 @@
 {
 namespace
 {
-constexpr auto        remembrance = std::chrono::seconds{60}; // Of instances that left, to know late writes by
-constexpr std::size_t mostEarlier = 16; // Lives of one server that are remembered; more than start in a minute
-constexpr double      most = 0.5;       // Share of a service
-constexpr double      many = 0.25;      // Share of all instances
+constexpr auto tombstoneTime =
+    std::chrono::seconds{60};               // Time that dropped instances are remembered, to recognise late writes
+constexpr std::size_t maxEarlierLives = 16; // Lives of one server that are remembered; more than start in a minute
+constexpr double      removedShare = 0.5;   // Above this share of a service, most of the service counts as removed
+constexpr double      lostShare = 0.25;     // Above this share of all instances, their loss is ascribed to the outage
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-InstanceBook::InstanceBook(BeliefSettings settings) :
+InstanceRegistry::InstanceRegistry(InstanceRetentionSettings settings) :
 m_settings(settings)
 {
 }
 
 ////////////////////////////////////////////////////////////
-void InstanceBook::renewed(core::Duration before, core::Timestamp now)
+void InstanceRegistry::applyRefresh(core::Duration before, core::Timestamp now)
 {
-    if (before > m_settings.outage && !m_entries.empty())
-        m_lapseUntil = now + m_settings.reannounce;
+    if (before > m_settings.outageThreshold && !m_entries.empty())
+        m_reannounceUntil = now + m_settings.reannounceWindow;
 }
 
 ////////////////////////////////////////////////////////////
-void InstanceBook::count(const Entry& entry, bool in)
+void InstanceRegistry::count(const Entry& entry, bool in)
 {
     if (entry.last.instance.id.empty() || entry.drained || entry.forgetAt)
         return;
-    Count&     counted = m_counts[entry.last.instance.service];
+    Count&     counts = m_counts[entry.last.instance.service];
     const auto add = [in](std::size_t& to, bool applies) { to = in ? to + applies : to - applies; };
-    add(counted.all, true);
-    add(counted.vanished, entry.believeUntil.has_value());
-    add(counted.lapsed, entry.lapsed);
+    add(counts.all, true);
+    add(counts.removed, entry.retainUntil.has_value());
+    add(counts.lostInOutage, entry.lostInOutage);
 }
 
 ////////////////////////////////////////////////////////////
-void InstanceBook::noteTold(const std::string& id, const Entry& entry, const std::optional<Instance>& before)
+void InstanceRegistry::recordChange(const std::string& id, const Entry& entry, const std::optional<Instance>& before)
 {
-    const bool believed = !entry.last.instance.id.empty() && !entry.forgetAt;
-    if (believed != before.has_value() || (believed && *before != entry.last.instance))
+    const bool listed = !entry.last.instance.id.empty() && !entry.forgetAt;
+    if (listed != before.has_value() || (listed && *before != entry.last.instance))
         m_changes.try_emplace(id, before);
 }
 
 ////////////////////////////////////////////////////////////
 template <typename Change>
-void InstanceBook::change(const std::string& id, Entry& entry, Change apply)
+void InstanceRegistry::change(const std::string& id, Entry& entry, Change apply)
 {
-    ++m_looked;
-    const bool                    believed = !entry.last.instance.id.empty() && !entry.forgetAt;
-    const std::optional<Instance> before = believed ? std::optional(entry.last.instance) : std::nullopt;
+    ++m_entriesExamined;
+    const bool                    listed = !entry.last.instance.id.empty() && !entry.forgetAt;
+    const std::optional<Instance> before = listed ? std::optional(entry.last.instance) : std::nullopt;
     count(entry, false);
     if (entry.forgetAt)
-        m_left.erase({*entry.forgetAt, id});
+        m_tombstones.erase({*entry.forgetAt, id});
     apply();
     count(entry, true);
-    noteTold(id, entry, before);
+    recordChange(id, entry, before);
     if (entry.forgetAt)
-        m_left.emplace(*entry.forgetAt, id);
-    if (entry.believeUntil)
-        m_waiting.insert(id);
+        m_tombstones.emplace(*entry.forgetAt, id);
+    if (entry.retainUntil)
+        m_retained.insert(id);
     else
-        m_waiting.erase(id);
+        m_retained.erase(id);
 }
 
 ////////////////////////////////////////////////////////////
-bool InstanceBook::announced(const Announcement& announcement)
+bool InstanceRegistry::applyAnnouncement(const Announcement& announcement)
 {
     const std::string&  id = announcement.instance.id;
     Entry&              entry = m_entries[id];
     const std::uint64_t born = announcement.instance.born;
     const bool          known = !entry.last.instance.id.empty();
-    const bool          anew = known && born != entry.last.instance.born;
-    if (anew && std::find(entry.earlier.begin(), entry.earlier.end(), born) != entry.earlier.end())
+    const bool          newLife = known && born != entry.last.instance.born;
+    if (newLife && std::find(entry.earlierLives.begin(), entry.earlierLives.end(), born) != entry.earlierLives.end())
         return false;
-    const bool late = !anew && announcement.sequence < entry.last.sequence;
+    const bool stale = !newLife && announcement.sequence < entry.last.sequence;
     change(id, entry,
            [&]
            {
-               if (anew)
-                   begin(entry);
-               if (late)
+               if (newLife)
+                   startNewLife(entry);
+               if (stale)
                    return;
                entry.last = announcement;
                entry.drained = entry.drained || announcement.instance.draining;
                entry.last.instance.draining = entry.drained;
-               entry.believeUntil.reset();
+               entry.retainUntil.reset();
                entry.forgetAt.reset();
-               entry.lapsed = false;
+               entry.lostInOutage = false;
            });
-    return !late;
+    return !stale;
 }
 
 ////////////////////////////////////////////////////////////
-void InstanceBook::begin(Entry& entry)
+void InstanceRegistry::startNewLife(Entry& entry)
 {
-    std::vector<std::uint64_t> earlier = std::move(entry.earlier);
-    if (earlier.size() >= mostEarlier)
-        earlier.erase(earlier.begin());
-    earlier.push_back(entry.last.instance.born);
+    std::vector<std::uint64_t> earlierLives = std::move(entry.earlierLives);
+    if (earlierLives.size() >= maxEarlierLives)
+        earlierLives.erase(earlierLives.begin());
+    earlierLives.push_back(entry.last.instance.born);
     entry = Entry{};
-    entry.earlier = std::move(earlier);
+    entry.earlierLives = std::move(earlierLives);
 }
 
 ////////////////////////////////////////////////////////////
-void InstanceBook::unreadable(std::string_view id, core::Timestamp now)
+void InstanceRegistry::applyUnreadableEntry(std::string_view id, core::Timestamp now)
 {
     const auto found = m_entries.find(id);
     if (found == m_entries.end())
@@ -117,81 +118,83 @@
     change(found->first, entry,
            [&]
            {
-               entry.believeUntil.reset();
-               entry.lapsed = false;
-               entry.forgetAt = now + remembrance;
+               entry.retainUntil.reset();
+               entry.lostInOutage = false;
+               entry.forgetAt = now + tombstoneTime;
            });
 }
 
 ////////////////////////////////////////////////////////////
-bool InstanceBook::mostVanished(const std::string& service) const
+bool InstanceRegistry::mostRemoved(const std::string& service) const
 {
     const auto found = m_counts.find(service);
     return found != m_counts.end() &&
-           static_cast<double>(found->second.vanished) > most * static_cast<double>(found->second.all);
+           static_cast<double>(found->second.removed) > removedShare * static_cast<double>(found->second.all);
 }
 
 ////////////////////////////////////////////////////////////
-void InstanceBook::vanished(std::string_view id, core::Timestamp earliest)
+void InstanceRegistry::applyRemoval(std::string_view id, core::Timestamp earliest)
 {
     const auto found = m_entries.find(id);
-    if (found == m_entries.end() || found->second.believeUntil || found->second.forgetAt)
+    if (found == m_entries.end() || found->second.retainUntil || found->second.forgetAt)
         return;
     Entry& entry = found->second;
     change(found->first, entry,
            [&]
            {
-               entry.lapsed = m_lapseUntil && !entry.drained;
-               entry.believeUntil = entry.lapsed ? *m_lapseUntil : earliest + m_settings.belief;
+               entry.lostInOutage = m_reannounceUntil && !entry.drained;
+               entry.retainUntil = entry.lostInOutage ? *m_reannounceUntil : earliest + m_settings.retention;
            });
 }
 
 ////////////////////////////////////////////////////////////
-bool InstanceBook::manyLapsed() const
+bool InstanceRegistry::manyLostInOutage() const
 {
     std::size_t all = 0;
-    std::size_t lapsed = 0;
-    for (const auto& [service, counted] : m_counts)
+    std::size_t lostInOutage = 0;
+    for (const auto& [service, counts] : m_counts)
     {
-        all += counted.all;
-        lapsed += counted.lapsed;
+        all += counts.all;
+        lostInOutage += counts.lostInOutage;
     }
-    return static_cast<double>(lapsed) > many * static_cast<double>(all);
+    return static_cast<double>(lostInOutage) > lostShare * static_cast<double>(all);
 }
 
 ////////////////////////////////////////////////////////////
-void InstanceBook::settle(bool storeIll, core::Timestamp now)
+void InstanceRegistry::expire(bool storeIll, core::Timestamp now)
 {
-    if (m_lapseUntil && now >= *m_lapseUntil)
-        m_lapseUntil.reset();
-    const bool                     sparesLapsed = manyLapsed();
-    std::map<std::string, bool>    mostGone; // By service, as of now: those that follow are judged alike
-    const std::vector<std::string> waiting(m_waiting.begin(), m_waiting.end());
-    for (const std::string& id : waiting)
+    if (m_reannounceUntil && now >= *m_reannounceUntil)
+        m_reannounceUntil.reset();
+    const bool retainLost = manyLostInOutage();
+    std::map<std::string, bool>
+        mostRemovedByService; // Evaluated before any instance is dropped, so that all are judged alike
+    const std::vector<std::string> retained(m_retained.begin(), m_retained.end());
+    for (const std::string& id : retained)
     {
         const std::string& service = m_entries.find(id)->second.last.instance.service;
-        mostGone.try_emplace(service, mostVanished(service));
+        mostRemovedByService.try_emplace(service, mostRemoved(service));
     }
-    for (; !m_left.empty() && now >= m_left.begin()->first; m_left.erase(m_left.begin()))
-        m_entries.erase(m_left.begin()->second);
-    for (const std::string& id : waiting)
+    for (; !m_tombstones.empty() && now >= m_tombstones.begin()->first; m_tombstones.erase(m_tombstones.begin()))
+        m_entries.erase(m_tombstones.begin()->second);
+    for (const std::string& id : retained)
     {
         Entry&     entry = m_entries.find(id)->second;
-        const bool reason = mostGone[entry.last.instance.service] || (entry.lapsed ? sparesLapsed : storeIll);
-        if (!entry.drained && reason && now < *entry.believeUntil)
+        const bool retain =
+            mostRemovedByService[entry.last.instance.service] || (entry.lostInOutage ? retainLost : storeIll);
+        if (!entry.drained && retain && now < *entry.retainUntil)
             continue;
         change(id, entry,
                [&]
                {
-                   entry.believeUntil.reset();
-                   entry.lapsed = false;
-                   entry.forgetAt = now + remembrance;
+                   entry.retainUntil.reset();
+                   entry.lostInOutage = false;
+                   entry.forgetAt = now + tombstoneTime;
                });
     }
 }
 
 ////////////////////////////////////////////////////////////
-InstanceChanges InstanceBook::takeChanges()
+InstanceChanges InstanceRegistry::takeChanges()
 {
     InstanceChanges changes;
     for (auto& [id, before] : std::exchange(m_changes, {}))
@@ -199,20 +202,20 @@
         const auto   found = m_entries.find(id);
         const Entry  none;
         const Entry& entry = found == m_entries.end() ? none : found->second;
-        const bool   believed = found != m_entries.end() && !entry.forgetAt;
-        // A server may come back under another service, whose pool knows nothing of the former one's.
-        if (before && (!believed || before->service != entry.last.instance.service))
+        const bool   listed = found != m_entries.end() && !entry.forgetAt;
+        // A server may come back under another service, whose pool does not know the instances of the former one.
+        if (before && (!listed || before->service != entry.last.instance.service))
             changes.gone.push_back(std::move(*before));
         else if (before && *before == entry.last.instance)
             continue;
-        if (believed)
+        if (listed)
             changes.present.push_back(entry.last.instance);
     }
     return changes;
 }
 
 ////////////////////////////////////////////////////////////
-std::vector<Instance> InstanceBook::list() const
+std::vector<Instance> InstanceRegistry::list() const
 {
     std::vector<Instance> instances;
     for (const auto& [id, entry] : m_entries)
@@ -224,23 +227,23 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::optional<core::Timestamp> InstanceBook::nextDue() const
+std::optional<core::Timestamp> InstanceRegistry::nextDue() const
 {
     std::optional<core::Timestamp> next;
-    for (const std::string& id : m_waiting)
+    for (const std::string& id : m_retained)
     {
-        ++m_looked;
+        ++m_entriesExamined;
         const Entry& entry = m_entries.find(id)->second;
-        if (entry.believeUntil && (!next || *entry.believeUntil < *next))
-            next = entry.believeUntil;
+        if (entry.retainUntil && (!next || *entry.retainUntil < *next))
+            next = entry.retainUntil;
     }
     return next;
 }
 
 ////////////////////////////////////////////////////////////
-std::uint64_t InstanceBook::looked() const
+std::uint64_t InstanceRegistry::entriesExamined() const
 {
-    return m_looked;
+    return m_entriesExamined;
 }
 
 } // namespace sailpath::deployment
--- a/src/sailpath/deployment/ServerFailure.cpp
+++ b/src/sailpath/deployment/ServerFailure.cpp
@@ -11,7 +11,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::uint32_t lifeHash(const Instance& instance)
+std::uint32_t instanceHash(const Instance& instance)
 {
     return static_cast<std::uint32_t>(core::hash(instance.id, instance.born));
 }
--- a/src/sailpath/fleet/FleetThread.cpp
+++ b/src/sailpath/fleet/FleetThread.cpp
@@ -23,10 +23,10 @@
 using replication::SourceAnswer;
 using replication::SourceStatus;
 
-constexpr auto nodesEvery =
-    std::chrono::milliseconds{250}; // Hundreds of nodes come at once when a fleet starts; each telling copies all
-constexpr auto illWithin =
-    std::chrono::milliseconds{1500}; // A failure of the store this recent explains vanished entries
+constexpr auto nodeCountInterval = std::chrono::milliseconds{
+    250}; // When a fleet starts, hundreds of nodes appear at once, and each publication copies the whole state
+constexpr auto storeFailureWindow =
+    std::chrono::milliseconds{1500}; // Removed entries may be due to a failure of the store this recent
 
 ////////////////////////////////////////////////////////////
 Moment moment()
@@ -40,16 +40,16 @@
 ////////////////////////////////////////////////////////////
 struct FleetThread::Impl
 {
-    Impl(FleetSettings given, const MakeSource& makeSource, const Translator& reads, Published told,
+    Impl(FleetSettings given, const MakeSource& makeSource, const Translator& reads, PublishHandler publishHandler,
          ports::EventLog& events) :
     settings(std::move(given)),
     translator(reads),
-    published(std::move(told)),
+    onPublish(std::move(publishHandler)),
     log(events),
     timer(context),
     source(makeSource(context)),
     replica(settings.replica, now()),
-    book(settings.belief),
+    registry(settings.retention),
     quarantines(settings.replica.self.address, settings.replica.seed),
     hub(context, settings.listen,
         {[this](LinkId link) { step([&] { linkOpened(link); }); },
@@ -77,11 +77,11 @@
         replica.linkOpened(link, now());
     }
 
-    void hearNews()
+    void deliverServerReports()
     {
         std::vector<deployment::ServerFailure> failures;
-        deployment::CrashNews                  crashes;
-        std::vector<deployment::LimitNews>     limits;
+        deployment::CrashReport                crashes;
+        std::vector<deployment::LimitReport>   limits;
         for (const replication::ServerReport& report : replica.takeNews())
         {
             for (const std::uint32_t server : report.servers)
@@ -93,35 +93,35 @@
                                         std::chrono::milliseconds{end.ranMs},
                                         std::chrono::milliseconds{end.agoMs}});
             crashes.served.insert(crashes.served.end(), report.served.begin(), report.served.end());
-            for (const replication::LimitRecord& one : report.limits)
-                limits.push_back({report.origin, one.server, one.perSecond, std::chrono::milliseconds{one.agoMs},
-                                  one.sent, one.doublings});
+            for (const replication::LimitRecord& limit : report.limits)
+                limits.push_back({report.origin, limit.server, limit.perSecond, std::chrono::milliseconds{limit.agoMs},
+                                  limit.sent, limit.doublings});
         }
-        if (!failures.empty() && heardFailures)
-            heardFailures(std::move(failures));
-        if (!crashes.empty() && heardCrashes)
-            heardCrashes(std::move(crashes));
-        if (!limits.empty() && heardLimits)
-            heardLimits(std::move(limits));
+        if (!failures.empty() && onFailureReports)
+            onFailureReports(std::move(failures));
+        if (!crashes.empty() && onCrashReport)
+            onCrashReport(std::move(crashes));
+        if (!limits.empty() && onLimitReports)
+            onLimitReports(std::move(limits));
     }
 
-    void sawLimits(std::span<const deployment::LimitNews> news)
+    void addLimits(std::span<const deployment::LimitReport> reports)
     {
         const auto at = now();
-        for (const deployment::LimitNews& one : news)
-            replica.serverLimited({one.server, one.perSecond, 0, one.sent, one.doublings}, at - one.ago, at);
+        for (const deployment::LimitReport& limit : reports)
+            replica.serverLimited({limit.server, limit.perSecond, 0, limit.sent, limit.doublings}, at - limit.ago, at);
     }
 
-    void sawCrashes(const deployment::CrashNews& news)
+    void addCrashes(const deployment::CrashReport& report)
     {
         const auto at = now();
-        for (const deployment::ServerEnd& end : news.ends)
+        for (const deployment::ServerCrash& crash : report.ends)
         {
-            replication::EndRecord record{end.server, end.request.content, end.request.caller};
-            record.ranMs = static_cast<std::uint32_t>(core::toMilliseconds(end.ran));
-            replica.serverEnded(record, at - end.ago, at);
+            replication::EndRecord record{crash.server, crash.request.content, crash.request.caller};
+            record.ranMs = static_cast<std::uint32_t>(core::toMilliseconds(crash.ran));
+            replica.serverEnded(record, at - crash.ago, at);
         }
-        for (const core::ContentHash& content : news.served)
+        for (const core::ContentHash& content : report.served)
             replica.requestServed(content, at);
     }
 
@@ -135,7 +135,7 @@
         {
             if (status == replication::WriteStatus::Unknown)
                 log.write(ports::Level::Warning, "quarantine-not-written", {{"status", "refused or no answer"}});
-            quarantines.written(status);
+            quarantines.finishWrite(status);
             step([] {});
         };
         if (item->revision == 0)
@@ -144,16 +144,17 @@
             source->replace(*item, written);
     }
 
-    bool applyQuarantine(const replication::Item& item)
+    bool applyQuarantineEntry(const replication::Item& item)
     {
-        const bool read = quarantines.changed(item, moment());
-        log.write(read ? ports::Level::Info : ports::Level::Warning, read ? "quarantine-heard" : "quarantine-rejected",
+        const bool readable = quarantines.applyEntry(item, moment());
+        log.write(readable ? ports::Level::Info : ports::Level::Warning,
+                  readable ? "quarantine-heard" : "quarantine-rejected",
                   {{"key", item.key}, {"gone", item.gone ? 1 : 0}, {"revision", item.revision}});
-        return read;
+        return readable;
     }
 
-    /// \brief Note the stages of the start, once each
-    void noteStart()
+    /// \brief Record when the node became usable, and log the stages of its start once
+    void recordStartStages()
     {
         if (start.usableAt || !deployment)
             return;
@@ -185,7 +186,7 @@
     void step(Work work)
     {
         const auto before = now();
-        const auto oldAge = replica.usable(before) ? replica.age(before) : core::Duration{};
+        const auto previousAge = replica.usable(before) ? replica.age(before) : core::Duration{};
         work();
         for (auto actions = replica.takeActions(); !actions.empty(); actions = replica.takeActions())
         {
@@ -195,35 +196,35 @@
         if (replica.known() && !start.copyAt)
             start.copyAt = now();
         if (replica.usable(now()))
-            apply(replica.takeChanges(), oldAge);
-        noteStart();
-        hearNews();
+            apply(replica.takeChanges(), previousAge);
+        recordStartStages();
+        deliverServerReports();
         writeQuarantines();
         refreshStatus();
-        arm();
+        armTimer();
     }
 
-    void arm()
+    void armTimer()
     {
         auto next = replica.nextDue();
-        if (const auto due = book.nextDue())
+        if (const auto due = registry.nextDue())
             next = std::min(next, *due);
         if (const auto due = quarantines.nextDue())
             next = std::min(next, *due);
-        if (awaited)
-            next = std::min(next, readNext);
-        // A timer that fires early only looks again; setting it anew costs a system call.
-        if (armed && armedFor <= next && armedFor + std::chrono::milliseconds{400} > next)
+        if (pendingDeployment)
+            next = std::min(next, nextParseAt);
+        // A timer that fires early only checks again, while resetting it costs a system call.
+        if (timerArmed && timerDue <= next && timerDue + std::chrono::milliseconds{400} > next)
             return;
-        armed = true;
-        armedFor = next;
+        timerArmed = true;
+        timerDue = next;
         timer.expires_after(next - now());
         timer.async_wait(
             [this](const asio::error_code& error)
             {
                 if (error)
                     return;
-                armed = false;
+                timerArmed = false;
                 step([this] { replica.tick(now()); });
             });
     }
@@ -314,60 +315,60 @@
             log.write(ports::Level::Info, action.event, {{"subject", action.subject}, {"value", "never"}});
     }
 
-    void apply(const std::vector<replication::Item>& changes, core::Duration oldAge)
+    void apply(const std::vector<replication::Item>& changes, core::Duration previousAge)
     {
         const auto at = now();
-        const bool ill = replica.storeIll(at, illWithin);
-        if (replica.known() && replica.age(at) < oldAge)
-            book.renewed(oldAge, at);
+        const bool storeIll = replica.storeIll(at, storeFailureWindow);
+        if (replica.known() && replica.age(at) < previousAge)
+            registry.applyRefresh(previousAge, at);
         bool changed = false;
         for (const replication::Item& item : changes)
         {
             if (translator.isDeployment(item.key))
-                awaitDeployment(item, at);
+                queueDeployment(item, at);
             else if (translator.isInstance(item.key))
-                changed = applyInstance(item, ill, oldAge, at) || changed;
+                changed = applyInstance(item, storeIll, previousAge, at) || changed;
             else if (const std::string dataCentre = translator.evacuatedDataCentre(item.key); !dataCentre.empty())
                 changed = applyEvacuation(dataCentre, item) || changed;
-            else if (QuarantineKeeper::isQuarantine(item.key))
-                changed = applyQuarantine(item) || changed;
+            else if (QuarantineKeeper::isQuarantineKey(item.key))
+                changed = applyQuarantineEntry(item) || changed;
         }
-        if (awaited && at >= readNext)
-            changed = readAwaited() || changed;
-        const auto due = book.nextDue();
+        if (pendingDeployment && at >= nextParseAt)
+            changed = parsePendingDeployment() || changed;
+        const auto due = registry.nextDue();
         if (changed || (due && *due <= at))
         {
-            book.settle(ill, at);
-            publish(ill);
+            registry.expire(storeIll, at);
+            publish(storeIll);
         }
-        else if (replica.nodes(at) != toldNodes && at >= nodesNext)
+        else if (replica.nodes(at) != publishedNodes && at >= nextNodeCountAt)
         {
-            nodesNext = at + nodesEvery;
-            publish(ill);
+            nextNodeCountAt = at + nodeCountInterval;
+            publish(storeIll);
         }
     }
 
-    void awaitDeployment(const replication::Item& item, core::Timestamp at)
+    void queueDeployment(const replication::Item& item, core::Timestamp at)
     {
         if (item.gone)
             return;
-        if (!awaited)
-            awaitedSince = at;
-        awaited = item;
+        if (!pendingDeployment)
+            pendingSince = at;
+        pendingDeployment = item;
     }
 
-    /// \brief Read the configuration that came last
+    /// \brief Parse the latest configuration received
     ///
-    /// Reading a large one takes a small VM a good part of a second. Between two readings it has as long for
-    /// everything else; of what comes meanwhile only the last is read.
-    bool readAwaited()
+    /// Parsing a large configuration takes a small VM a good part of a second. After each parse, the thread has
+    /// the same time for other work; of the configurations that arrive meanwhile, only the last is parsed.
+    bool parsePendingDeployment()
     {
         const auto              begin = now();
-        const replication::Item item = std::move(*awaited);
-        awaited.reset();
+        const replication::Item item = std::move(*pendingDeployment);
+        pendingDeployment.reset();
         const bool changed = applyDeployment(item);
         const auto end = now();
-        readNext = end + (end - begin);
+        nextParseAt = end + (end - begin);
         return changed;
     }
 
@@ -386,36 +387,36 @@
         log.write(
             ports::Level::Info, "configuration-in-force",
             {{"version", read->version}, {"revision", item.revision}, {"routes", read->routes.size()}, ageField()});
-        for (const std::string& word : read->unknownWords)
+        for (const std::string& word : read->unknownKeywords)
             log.write(ports::Level::Warning, "configuration-word-unknown",
                       {{"version", read->version}, {"word", word}, {"taken", "runs-once"}});
         deployment = std::make_shared<const deployment::Deployment>(std::move(*read));
         return true;
     }
 
-    bool applyInstance(const replication::Item& item, bool ill, core::Duration oldAge, core::Timestamp at)
+    bool applyInstance(const replication::Item& item, bool storeIll, core::Duration previousAge, core::Timestamp at)
     {
         if (item.gone)
         {
             const std::string id = translator.instanceId(item.key);
             log.write(ports::Level::Info, "instance-vanished",
-                      {{"instance", id}, {"revision", item.revision}, {"storeIll", ill ? 1 : 0}});
-            // It may have vanished any time since the picture was last known to be the store's.
-            book.vanished(id, at - oldAge);
+                      {{"instance", id}, {"revision", item.revision}, {"storeIll", storeIll ? 1 : 0}});
+            // The entry may have been removed at any time since the copy last matched the store.
+            registry.applyRemoval(id, at - previousAge);
             return true;
         }
         core::Findings findings;
         const auto     read = translator.announcement(item.key, item.value, findings);
         if (!read)
         {
-            // It is another writer's, and names no server; a server of that name gets nothing more.
+            // The entry is another writer's and names no server; a server with its id gets no more requests.
             ++rejectedEntries;
             log.write(ports::Level::Error, "instance-rejected",
                       {{"key", item.key}, {"revision", item.revision}, {"findings", findings.text()}});
-            book.unreadable(translator.instanceId(item.key), at);
+            registry.applyUnreadableEntry(translator.instanceId(item.key), at);
             return true;
         }
-        if (!book.announced(*read))
+        if (!registry.applyAnnouncement(*read))
         {
             log.write(
                 ports::Level::Warning, "instance-late",
@@ -432,9 +433,9 @@
         return true;
     }
 
-    /// \brief Note that a data centre is evacuated or taken back
+    /// \brief Apply the evacuation of a data centre or its end
     ///
-    /// The copy moves a key to higher revisions only, so no relay that lags brings an earlier word back.
+    /// The copy moves a key to higher revisions only, so a lagging relay cannot restore an earlier state.
     bool applyEvacuation(const std::string& dataCentre, const replication::Item& item)
     {
         const bool changed = item.gone ? evacuated.erase(dataCentre) > 0 : evacuated.insert(dataCentre).second;
@@ -444,25 +445,25 @@
         return changed;
     }
 
-    void publish(bool ill)
+    void publish(bool storeIll)
     {
-        toldNodes = replica.nodes(now());
-        deployment::Declared declared;
+        publishedNodes = replica.nodes(now());
+        deployment::DeclaredState declared;
         declared.deployment = deployment;
-        deployment::InstanceChanges changes = book.takeChanges();
-        declared.whole = !told;
+        deployment::InstanceChanges changes = registry.takeChanges();
+        declared.whole = !publishedOnce;
         declared.instances = std::move(changes.present);
         declared.gone = std::move(changes.gone);
-        told = true;
-        declared.nodes = toldNodes;
-        declared.suspect = ill;
+        publishedOnce = true;
+        declared.nodes = publishedNodes;
+        declared.suspect = storeIll;
         declared.evacuated = evacuated;
         declared.members = replica.members(now());
         declared.quarantines = quarantines.list();
-        published(std::move(declared));
+        onPublish(std::move(declared));
     }
 
-    /// \brief Age of the copy; null when it was never known to be the store's
+    /// \brief Get the age of the copy in milliseconds; null when the copy never matched the store
     [[nodiscard]] std::optional<double> ageMs() const
     {
         return replica.provedAt() ? std::optional(core::toMilliseconds(replica.age(now()))) : std::nullopt;
@@ -483,64 +484,65 @@
             log.write(ports::Level::Info, "picture-regained", {ageField()});
         }
         const std::lock_guard<std::mutex> lock(mutex);
-        proved = replica.provedAt();
-        heard = replica.heardAt();
-        if (proved && awaited)
-            proved = std::min(*proved, awaitedSince);
-        shown = {replica.table().at(),
-                 deployment ? deployment->version : 0,
-                 age,
-                 toldNodes,
-                 replica.followers(),
-                 source->calls(),
-                 replica.watching(),
-                 readings,
-                 watches,
-                 start,
-                 evacuated.size(),
-                 rejectedEntries};
+        lastProvedAt = replica.provedAt();
+        lastHeardAt = replica.heardAt();
+        if (lastProvedAt && pendingDeployment)
+            lastProvedAt = std::min(*lastProvedAt, pendingSince);
+        statusSnapshot = {replica.table().at(),
+                          deployment ? deployment->version : 0,
+                          age,
+                          publishedNodes,
+                          replica.followers(),
+                          source->calls(),
+                          replica.watching(),
+                          readings,
+                          watches,
+                          start,
+                          evacuated.size(),
+                          rejectedEntries};
     }
 
     FleetSettings                                 settings;
     const Translator&                             translator;
-    Published                                     published;
-    HeardFailures                                 heardFailures; // Set on the loop
-    HeardCrashes                                  heardCrashes;  // Set on the loop
-    HeardLimits                                   heardLimits;   // Set on the loop
+    PublishHandler                                onPublish;
+    FailureHandler                                onFailureReports; // Set on the control thread
+    CrashHandler                                  onCrashReport;    // Set on the control thread
+    LimitHandler                                  onLimitReports;   // Set on the control thread
     ports::EventLog&                              log;
     asio::io_context                              context{1};
     asio::steady_timer                            timer;
     std::unique_ptr<replication::ItemSource>      source;
     replication::Replica                          replica;
-    deployment::InstanceBook                      book;
+    deployment::InstanceRegistry                  registry;
     QuarantineKeeper                              quarantines;
     adapters::links::LinkHub                      hub;
     std::shared_ptr<const deployment::Deployment> deployment;
-    std::set<std::string>                         evacuated; // Data centres
+    std::set<std::string>                         evacuated; // Names of evacuated data centres
     std::uint64_t                                 rejectedEntries{0};
-    StoreUse                                      readings; // Of all items
-    StoreUse                                      watches;  // For changes
+    StoreUse                                      readings; // Reads of all items
+    StoreUse                                      watches;  // Watches for changes
     StartStages                                   start{now(), {}, {}, {}};
-    core::Timestamp                               armedFor{};
-    bool                                          armed{false};
+    core::Timestamp                               timerDue{};
+    bool                                          timerArmed{false};
     bool                                          storeLost{false};
-    bool                                          told{false}; // All instances, once; since then what changed
-    unsigned                                      toldNodes{0};
-    core::Timestamp                               nodesNext{}; // Their number alone is told not before
-    mutable std::mutex                            mutex;
-    FleetStatus                                   shown;
-    std::optional<core::Timestamp>                proved;         // Routes were the operators' then
-    std::optional<core::Timestamp>                heard;          // A relay or the store answered then
-    std::optional<replication::Item>              awaited;        // A configuration that is not read yet
-    core::Timestamp                               awaitedSince{}; // Since then the one in force is not the last
-    core::Timestamp                               readNext{};     // Not before
-    std::thread                                   thread;
+    bool               publishedOnce{false}; // All instances were published once; since then only changes are
+    unsigned           publishedNodes{0};
+    core::Timestamp    nextNodeCountAt{}; // Earliest time to publish a change of the number of nodes alone
+    mutable std::mutex mutex;
+    FleetStatus        statusSnapshot;
+    std::optional<core::Timestamp>
+        lastProvedAt; // When the copy last matched the store and its configuration was in force
+    std::optional<core::Timestamp>   lastHeardAt;       // When a relay or the store last answered
+    std::optional<replication::Item> pendingDeployment; // Latest configuration, not parsed yet
+    core::Timestamp                  pendingSince{};    // Since when the configuration in force is not the latest
+    core::Timestamp                  nextParseAt{};     // Earliest time to parse `pendingDeployment`
+    std::thread                      thread;
 };
 
 ////////////////////////////////////////////////////////////
 FleetThread::FleetThread(FleetSettings settings, const MakeSource& makeSource, const Translator& translator,
-                         Published published, ports::EventLog& log) :
-m_impl(std::make_unique<Impl>(std::move(settings), makeSource, translator, std::move(published), log))
+                         PublishHandler onPublish, ports::EventLog& log) :
+m_impl(std::make_unique<Impl>(std::move(settings), makeSource, translator, std::move(onPublish), log))
 {
 }
 
@@ -551,18 +553,18 @@
 std::optional<core::Timestamp> FleetThread::provedAt() const
 {
     const std::lock_guard<std::mutex> lock(m_impl->mutex);
-    return m_impl->proved;
+    return m_impl->lastProvedAt;
 }
 
 ////////////////////////////////////////////////////////////
 std::optional<core::Timestamp> FleetThread::heardAt() const
 {
     const std::lock_guard<std::mutex> lock(m_impl->mutex);
-    return m_impl->heard;
+    return m_impl->lastHeardAt;
 }
 
 ////////////////////////////////////////////////////////////
-void FleetThread::serversFailed(std::vector<std::uint32_t> servers)
+void FleetThread::reportServerFailures(std::vector<std::uint32_t> servers)
 {
     asio::post(m_impl->context,
                [this, servers = std::move(servers)]
@@ -577,47 +579,49 @@
 }
 
 ////////////////////////////////////////////////////////////
-void FleetThread::onFailures(HeardFailures heard)
+void FleetThread::onFailures(FailureHandler handler)
 {
-    asio::post(m_impl->context, [this, heard = std::move(heard)] { m_impl->heardFailures = heard; });
+    asio::post(m_impl->context, [this, handler = std::move(handler)] { m_impl->onFailureReports = handler; });
 }
 
 ////////////////////////////////////////////////////////////
-void FleetThread::crashed(deployment::CrashNews news)
+void FleetThread::reportCrashes(deployment::CrashReport report)
 {
-    asio::post(m_impl->context, [this, news = std::move(news)] { m_impl->step([&] { m_impl->sawCrashes(news); }); });
+    asio::post(m_impl->context,
+               [this, report = std::move(report)] { m_impl->step([&] { m_impl->addCrashes(report); }); });
 }
 
 ////////////////////////////////////////////////////////////
-void FleetThread::onCrashes(HeardCrashes heard)
+void FleetThread::onCrashes(CrashHandler handler)
 {
-    asio::post(m_impl->context, [this, heard = std::move(heard)] { m_impl->heardCrashes = heard; });
+    asio::post(m_impl->context, [this, handler = std::move(handler)] { m_impl->onCrashReport = handler; });
 }
 
 ////////////////////////////////////////////////////////////
-void FleetThread::limited(std::vector<deployment::LimitNews> news)
+void FleetThread::reportLimits(std::vector<deployment::LimitReport> reports)
 {
-    asio::post(m_impl->context, [this, news = std::move(news)] { m_impl->step([&] { m_impl->sawLimits(news); }); });
+    asio::post(m_impl->context,
+               [this, reports = std::move(reports)] { m_impl->step([&] { m_impl->addLimits(reports); }); });
 }
 
 ////////////////////////////////////////////////////////////
-void FleetThread::onLimits(HeardLimits heard)
+void FleetThread::onLimits(LimitHandler handler)
 {
-    asio::post(m_impl->context, [this, heard = std::move(heard)] { m_impl->heardLimits = heard; });
+    asio::post(m_impl->context, [this, handler = std::move(handler)] { m_impl->onLimitReports = handler; });
 }
 
 ////////////////////////////////////////////////////////////
-void FleetThread::quarantined(const deployment::Quarantine& quarantine)
+void FleetThread::reportQuarantine(const deployment::Quarantine& quarantine)
 {
     asio::post(m_impl->context,
-               [this, quarantine] { m_impl->step([&] { m_impl->quarantines.concluded(quarantine, moment()); }); });
+               [this, quarantine] { m_impl->step([&] { m_impl->quarantines.addConclusion(quarantine, moment()); }); });
 }
 
 ////////////////////////////////////////////////////////////
 FleetStatus FleetThread::status() const
 {
     const std::lock_guard<std::mutex> lock(m_impl->mutex);
-    return m_impl->shown;
+    return m_impl->statusSnapshot;
 }
 
 } // namespace sailpath::fleet
--- a/src/sailpath/fleet/QuarantineKeeper.cpp
+++ b/src/sailpath/fleet/QuarantineKeeper.cpp
@@ -9,19 +9,19 @@
 namespace
 {
 constexpr std::string_view prefix = "sailpath/quarantine/";
-constexpr std::size_t      mostStored = 1024; // Each stands for three servers that ended in the last ten minutes
-constexpr std::size_t      mostValue = 512;   // Bytes
-constexpr auto             longest = std::chrono::minutes{10};           // Also when clocks disagree
-constexpr auto             othersWait = std::chrono::milliseconds{1500}; // For the entry of the node that goes first
-constexpr auto             othersSpread = std::chrono::seconds{2};       // And each its own time more
-constexpr auto             writeAgain = std::chrono::milliseconds{700};  // After one that did not bring it about
-constexpr auto             removeAfter = std::chrono::seconds{5};        // Its end, for clocks that disagree
-constexpr auto             removeSpread = std::chrono::seconds{60};
+constexpr std::size_t      maxStored = 1024; // Each entry follows from three servers that ended in the last ten minutes
+constexpr std::size_t      maxValueBytes = 512;                    // Larger values are unreadable
+constexpr auto             maxDuration = std::chrono::minutes{10}; // Upper bound, as nodes' wall clocks may differ
+constexpr auto peerWriteDelay = std::chrono::milliseconds{1500};   // Time for the first node's entry to arrive
+constexpr auto peerWriteJitter = std::chrono::seconds{2};          // Random part on top, drawn by each node
+constexpr auto rewriteInterval = std::chrono::milliseconds{700};   // Until a write that had no effect is repeated
+constexpr auto removalDelay = std::chrono::seconds{5}; // After the quarantine's end, as nodes' wall clocks may differ
+constexpr auto removalJitter = std::chrono::seconds{60};
 
 ////////////////////////////////////////////////////////////
-/// \brief The value of `NAME=VALUE` among words; empty when there is none
+/// \brief Get the value of `NAME=VALUE` among words separated by spaces; empty when none has the name
 ////////////////////////////////////////////////////////////
-std::string_view wordOf(std::string_view text, std::string_view name)
+std::string_view valueOf(std::string_view text, std::string_view name)
 {
     while (!text.empty())
     {
@@ -52,7 +52,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool QuarantineKeeper::isQuarantine(std::string_view key)
+bool QuarantineKeeper::isQuarantineKey(std::string_view key)
 {
     return key.starts_with(prefix);
 }
@@ -64,13 +64,13 @@
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration QuarantineKeeper::drawn(core::Duration most)
+core::Duration QuarantineKeeper::randomDelay(core::Duration maximum)
 {
-    return core::fromMilliseconds(core::toMilliseconds(most) * m_random.unit());
+    return core::fromMilliseconds(core::toMilliseconds(maximum) * m_random.unit());
 }
 
 ////////////////////////////////////////////////////////////
-bool QuarantineKeeper::covered(const deployment::Quarantine& quarantine) const
+bool QuarantineKeeper::isCovered(const deployment::Quarantine& quarantine) const
 {
     const auto found = m_stored.find(quarantine.content);
     if (found == m_stored.end())
@@ -80,29 +80,29 @@
 }
 
 ////////////////////////////////////////////////////////////
-void QuarantineKeeper::concluded(const deployment::Quarantine& quarantine, const Moment& at)
+void QuarantineKeeper::addConclusion(const deployment::Quarantine& quarantine, const Moment& at)
 {
     if (quarantine.until <= at.now)
-        return takenBack(quarantine.content, at);
-    if (covered(quarantine))
+        return withdraw(quarantine.content, at);
+    if (isCovered(quarantine))
         return;
-    const bool           first = quarantine.source == "here";
-    const core::Duration wait = first ? core::Duration{} : othersWait + drawn(othersSpread);
-    m_pending[quarantine.content] = {quarantine, at.now + wait};
+    const bool           writesFirst = quarantine.source == "here";
+    const core::Duration delay = writesFirst ? core::Duration{} : peerWriteDelay + randomDelay(peerWriteJitter);
+    m_pending[quarantine.content] = {quarantine, at.now + delay};
 }
 
 ////////////////////////////////////////////////////////////
-void QuarantineKeeper::takenBack(const core::ContentHash& content, const Moment& at)
+void QuarantineKeeper::withdraw(const core::ContentHash& content, const Moment& at)
 {
     m_pending.erase(content);
     const auto stored = m_stored.find(content);
-    // All nodes find it out at about the same time; one removes it, the others only if it stays.
+    // All nodes withdraw a quarantine at about the same time. The first removes the entry, the others only if it stays.
     if (stored != m_stored.end())
-        stored->second.removeAt = at.now + drawn(othersWait);
+        stored->second.removeAt = at.now + randomDelay(peerWriteDelay);
 }
 
 ////////////////////////////////////////////////////////////
-bool QuarantineKeeper::changed(const replication::Item& item, const Moment& at)
+bool QuarantineKeeper::applyEntry(const replication::Item& item, const Moment& at)
 {
     const auto content = core::ContentHash::fromText(std::string_view(item.key).substr(prefix.size()));
     if (!content)
@@ -115,13 +115,13 @@
     }
     deployment::Quarantine quarantine;
     quarantine.content = *content;
-    const bool full = m_stored.size() >= mostStored && !m_stored.contains(*content);
+    const bool full = m_stored.size() >= maxStored && !m_stored.contains(*content);
     if (full || !decode(item, at, quarantine))
         return false;
-    const core::Timestamp removeAt = quarantine.until + removeAfter + drawn(removeSpread);
+    const core::Timestamp removeAt = quarantine.until + removalDelay + randomDelay(removalJitter);
     m_stored[*content] = {std::move(quarantine), item.revision, removeAt};
     const auto pending = m_pending.find(*content);
-    if (pending != m_pending.end() && covered(pending->second.quarantine))
+    if (pending != m_pending.end() && isCovered(pending->second.quarantine))
         m_pending.erase(pending);
     return true;
 }
@@ -136,7 +136,7 @@
     {
         if (at.now < pending.writeAt)
             continue;
-        pending.writeAt = at.now + writeAgain + drawn(writeAgain);
+        pending.writeAt = at.now + rewriteInterval + randomDelay(rewriteInterval);
         const auto stored = m_stored.find(content);
         m_writing = true;
         return replication::Item{keyOf(content), encode(pending.quarantine, at),
@@ -146,7 +146,7 @@
     {
         if (at.now < stored.removeAt)
             continue;
-        stored.removeAt = at.now + removeSpread;
+        stored.removeAt = at.now + removalJitter;
         m_writing = true;
         return replication::Item{keyOf(content), {}, stored.revision, true};
     }
@@ -154,9 +154,9 @@
 }
 
 ////////////////////////////////////////////////////////////
-void QuarantineKeeper::written(replication::WriteStatus)
+void QuarantineKeeper::finishWrite(replication::WriteStatus)
 {
-    // Whatever it came to: what counts is what the copy of the store shows.
+    // The result does not matter: the copy of the store shows whether the write took effect.
     m_writing = false;
 }
 
@@ -164,22 +164,22 @@
 std::optional<core::Timestamp> QuarantineKeeper::nextDue() const
 {
     std::optional<core::Timestamp> next;
-    const auto                     sooner = [&next](core::Timestamp at) { next = std::min(next.value_or(at), at); };
+    const auto keepEarlier = [&next](core::Timestamp at) { next = std::min(next.value_or(at), at); };
     for (const auto& [content, pending] : m_pending)
-        sooner(pending.writeAt);
+        keepEarlier(pending.writeAt);
     for (const auto& [content, stored] : m_stored)
-        sooner(stored.removeAt);
+        keepEarlier(stored.removeAt);
     return m_writing ? std::nullopt : next;
 }
 
 ////////////////////////////////////////////////////////////
 std::vector<deployment::Quarantine> QuarantineKeeper::list() const
 {
-    std::vector<deployment::Quarantine> listed;
-    listed.reserve(m_stored.size());
+    std::vector<deployment::Quarantine> quarantines;
+    quarantines.reserve(m_stored.size());
     for (const auto& [content, stored] : m_stored)
-        listed.push_back(stored.quarantine);
-    return listed;
+        quarantines.push_back(stored.quarantine);
+    return quarantines;
 }
 
 ////////////////////////////////////////////////////////////
@@ -194,22 +194,22 @@
 ////////////////////////////////////////////////////////////
 bool QuarantineKeeper::decode(const replication::Item& item, const Moment& at, deployment::Quarantine& to)
 {
-    if (item.value.size() > mostValue)
+    if (item.value.size() > maxValueBytes)
         return false;
-    const std::string_view caller = wordOf(item.value, "caller");
-    std::uint32_t          one = 0;
+    const std::string_view caller = valueOf(item.value, "caller");
+    std::uint32_t          callerHash = 0;
     std::int64_t           untilMs = 0;
-    if (caller != "any" && !readNumber(caller, one))
+    if (caller != "any" && !readNumber(caller, callerHash))
         return false;
-    if (!readNumber(wordOf(item.value, "servers"), to.servers) || !readNumber(wordOf(item.value, "untilMs"), untilMs))
+    if (!readNumber(valueOf(item.value, "servers"), to.servers) || !readNumber(valueOf(item.value, "untilMs"), untilMs))
         return false;
     if (caller != "any")
-        to.caller = one;
-    const auto left = std::chrono::milliseconds{std::clamp<std::int64_t>(untilMs - std::min(untilMs, at.unixMs), 0,
-                                                                         std::chrono::milliseconds(longest).count())};
+        to.caller = callerHash;
+    const auto left = std::chrono::milliseconds{std::clamp<std::int64_t>(
+        untilMs - std::min(untilMs, at.unixMs), 0, std::chrono::milliseconds(maxDuration).count())};
     to.since = at.now;
     to.until = at.now + left;
-    to.source = wordOf(item.value, "by");
+    to.source = valueOf(item.value, "by");
     to.stored = true;
     return true;
 }
--- a/src/sailpath/gateway/Gateway.cpp
+++ b/src/sailpath/gateway/Gateway.cpp
@@ -290,7 +290,7 @@
 Gateway::~Gateway() = default;
 
 ////////////////////////////////////////////////////////////
-void Gateway::configure(const deployment::Declared& declared)
+void Gateway::configure(const deployment::DeclaredState& declared)
 {
     // Requests that were held for the first configuration are decided about with it.
     if (m_impl->provedAt)
@@ -337,28 +337,28 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::watchCrashes(std::function<void(deployment::CrashNews)>  news,
-                           std::function<void(deployment::Quarantine)> quarantined)
+void Gateway::watchCrashes(std::function<void(deployment::CrashReport)> news,
+                           std::function<void(deployment::Quarantine)>  quarantined)
 {
     m_impl->crashed = std::move(news);
     m_impl->quarantined = std::move(quarantined);
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::hearCrashes(const deployment::CrashNews& news)
+void Gateway::hearCrashes(const deployment::CrashReport& news)
 {
     m_impl->balancer.heardCrashes(news, core::now());
     m_impl->logBeliefs();
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::watchLimits(std::function<void(std::vector<deployment::LimitNews>)> news)
+void Gateway::watchLimits(std::function<void(std::vector<deployment::LimitReport>)> news)
 {
     m_impl->limited = std::move(news);
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::hearLimits(std::span<const deployment::LimitNews> news)
+void Gateway::hearLimits(std::span<const deployment::LimitReport> news)
 {
     m_impl->balancer.heardLimits(news, core::now());
     m_impl->logBeliefs();
--- a/src/sailpath/gateway/GatewayImpl.hpp
+++ b/src/sailpath/gateway/GatewayImpl.hpp
@@ -101,14 +101,14 @@
     metrics::StageTimes          stages;
     priv::FieldWatch             fieldWatch;
     std::function<std::string()> furtherMetrics;
-    std::function<std::optional<core::Timestamp>()>         provedAt;
-    std::function<std::optional<core::Timestamp>()>         heardFleet;
-    std::function<void(std::vector<std::uint32_t>)>         failed;
-    std::function<void(deployment::CrashNews)>              crashed;
-    std::function<void(deployment::Quarantine)>             quarantined;
-    std::function<void(std::vector<deployment::LimitNews>)> limited;
-    priv::StatusServer                                      readiness;
-    std::optional<priv::StatusServer>                       metricsPage;
+    std::function<std::optional<core::Timestamp>()>           provedAt;
+    std::function<std::optional<core::Timestamp>()>           heardFleet;
+    std::function<void(std::vector<std::uint32_t>)>           failed;
+    std::function<void(deployment::CrashReport)>              crashed;
+    std::function<void(deployment::Quarantine)>               quarantined;
+    std::function<void(std::vector<deployment::LimitReport>)> limited;
+    priv::StatusServer                                        readiness;
+    std::optional<priv::StatusServer>                         metricsPage;
 };
 
 } // namespace sailpath::gateway
--- a/src/sailpath/gateway/ServerConnections.cpp
+++ b/src/sailpath/gateway/ServerConnections.cpp
@@ -26,8 +26,8 @@
     {
         const core::Duration limit =
             proven ? std::min(m_settings.provenFor, restLimit(*connection)) : restLimit(*connection);
-        const bool usable =
-            connection->idle() && connection->rest() < limit && deployment::sameLife(connection->instance(), *instance);
+        const bool usable = connection->idle() && connection->rest() < limit &&
+                            deployment::sameInstance(connection->instance(), *instance);
         if (usable && (!best || connection->rest() < best->rest()))
             best = connection;
     }
--- a/test/balance/Balancer.test.cpp
+++ b/test/balance/Balancer.test.cpp
@@ -157,9 +157,9 @@
         return steps();
     }
 
-    core::Timestamp      now{1h};
-    Balancer             balancer{settingsOf(), now};
-    deployment::Declared declared;
+    core::Timestamp           now{1h};
+    Balancer                  balancer{settingsOf(), now};
+    deployment::DeclaredState declared;
 };
 
 ////////////////////////////////////////////////////////////
@@ -879,8 +879,8 @@
 
 BOOST_AUTO_TEST_CASE(NoRequestIsDeniedBeforeAConfigurationIsKnown)
 {
-    Balancer             early(settingsOf(), now);
-    deployment::Declared known = declared;
+    Balancer                  early(settingsOf(), now);
+    deployment::DeclaredState known = declared;
     known.deployment = nullptr;
     std::vector<Step> taken;
     early.configure(known, now);
--- a/test/balance/Changes.test.cpp
+++ b/test/balance/Changes.test.cpp
@@ -29,7 +29,7 @@
     void change(std::vector<deployment::Instance> present, std::vector<deployment::Instance> gone,
                 std::set<std::string> evacuated = {})
     {
-        deployment::Declared told = declared;
+        deployment::DeclaredState told = declared;
         told.whole = false;
         told.instances = std::move(present);
         told.gone = std::move(gone);
--- a/test/balance/Evacuation.test.cpp
+++ b/test/balance/Evacuation.test.cpp
@@ -147,11 +147,11 @@
         return sent;
     }
 
-    deployment::Declared declared;
-    core::Timestamp      now{1h};
-    Ticket               ticket{0};
-    std::vector<Step>    asked;
-    Balancer             balancer{settingsOf(), now};
+    deployment::DeclaredState declared;
+    core::Timestamp           now{1h};
+    Ticket                    ticket{0};
+    std::vector<Step>         asked;
+    Balancer                  balancer{settingsOf(), now};
 };
 
 } // namespace
--- a/test/balance/SplitShare.test.cpp
+++ b/test/balance/SplitShare.test.cpp
@@ -134,7 +134,7 @@
         deployment->version = version;
         deployment->routes = {route};
         deployment->services = {{"a", "", 0}, {"b", "", 0}};
-        deployment::Declared declared;
+        deployment::DeclaredState declared;
         declared.deployment = deployment;
         declared.instances = {{"a1", "a", "10.0.0.1", 80, "dc", 1000, false, {}},
                               {"b1", "b", "10.0.0.2", 80, "dc", 1000, false, {}}};
--- a/test/balance/crashes/CrashLedger.test.cpp
+++ b/test/balance/crashes/CrashLedger.test.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 using balance::CrashLedger;
 using deployment::RequestIdentity;
-using deployment::ServerEnd;
+using deployment::ServerCrash;
 
 ////////////////////////////////////////////////////////////
 RequestIdentity requestOf(const std::string& text, std::uint32_t caller = 1)
--- a/test/balance/crashes/Innocent.test.cpp
+++ b/test/balance/crashes/Innocent.test.cpp
@@ -19,7 +19,7 @@
 using namespace std::chrono_literals;
 using balance::CrashLedger;
 using deployment::RequestIdentity;
-using deployment::ServerEnd;
+using deployment::ServerCrash;
 
 constexpr core::Timestamp start{1h};
 
@@ -37,7 +37,7 @@
 {
     core::Timestamp happened;
     core::Timestamp heard;
-    ServerEnd       end;
+    ServerCrash     end;
 };
 
 ////////////////////////////////////////////////////////////
@@ -81,7 +81,7 @@
         const auto   news = draw(random);
         for (const News& one : news)
         {
-            ServerEnd end = one.end;
+            ServerCrash end = one.end;
             end.ago = one.heard - one.happened;
             ledger.ended(end, one.heard);
         }
--- a/test/balance/crashes/Quarantined.test.cpp
+++ b/test/balance/crashes/Quarantined.test.cpp
@@ -122,8 +122,8 @@
 {
     balancer.configure(declared, now);
     now += 20s;
-    const auto                  culprit = requestOf("culprit");
-    const deployment::CrashNews news{{{5, 71, culprit, 80ms, 1ms}}, {}};
+    const auto                    culprit = requestOf("culprit");
+    const deployment::CrashReport news{{{5, 71, culprit, 80ms, 1ms}}, {}};
     balancer.heardCrashes(news, now);
     now += 1s;
     balancer.heardCrashes({{{6, 72, culprit, 80ms, 1ms}}, {}}, now);
--- a/test/balance/limits/Refusals.test.cpp
+++ b/test/balance/limits/Refusals.test.cpp
@@ -91,13 +91,13 @@
 
 BOOST_AUTO_TEST_CASE(WhatOtherNodesSentClosesAServerHereToo)
 {
-    std::vector<deployment::LimitNews> news;
+    std::vector<deployment::LimitReport> news;
     for (const deployment::Instance& instance : declared.instances)
-        news.push_back({9, deployment::lifeHash(instance), 1, 0ms, 1, -8});
+        news.push_back({9, deployment::instanceHash(instance), 1, 0ms, 1, -8});
     balancer.heardLimits(news, now);
     BOOST_TEST((arrive().refusal.reason == RefusalReason::AllLimited));
     // Of servers that this node does not know nothing is kept.
-    balancer.heardLimits(std::vector<deployment::LimitNews>{{9, 77, 1, 0ms, 1, -8}}, now);
+    balancer.heardLimits(std::vector<deployment::LimitReport>{{9, 77, 1, 0ms, 1, -8}}, now);
     BOOST_TEST(balancer.limits(now).size() == 2U);
 }
 
--- a/test/balance/notices/BackOff.test.cpp
+++ b/test/balance/notices/BackOff.test.cpp
@@ -208,7 +208,7 @@
 {
     backsOff(0, 10s);
     backsOff(1, 10s);
-    deployment::Declared without = declared;
+    deployment::DeclaredState without = declared;
     without.instances.clear();
     balancer.configure(without, now);
     balancer.configure(declared, now);
--- a/test/balance/notices/Leaving.test.cpp
+++ b/test/balance/notices/Leaving.test.cpp
@@ -96,14 +96,14 @@
 BOOST_AUTO_TEST_CASE(AnEntryThatComesBackDoesNotUndoIt)
 {
     leaves(0);
-    deployment::Declared without = declared;
+    deployment::DeclaredState without = declared;
     without.instances.erase(without.instances.begin());
     balancer.configure(without, now);
     balancer.configure(declared, now + 1s);
     now += 1s;
     BOOST_TEST(spread()["s0"] == 0U);
     // The same by single changes.
-    deployment::Declared change;
+    deployment::DeclaredState change;
     change.deployment = declared.deployment;
     change.whole = false;
     change.gone = {declared.instances[0]};
@@ -156,7 +156,7 @@
 BOOST_AUTO_TEST_CASE(OfManyThatWentOnlySoMuchIsKept)
 {
     const deployment::Instance like = declared.instances[1];
-    deployment::Declared       change;
+    deployment::DeclaredState  change;
     change.deployment = declared.deployment;
     change.whole = false;
     for (int i = 0; i < 2000; ++i)
--- a/test/deployment/InstanceRegistry.test.cpp
+++ b/test/deployment/InstanceRegistry.test.cpp
@@ -11,12 +11,12 @@
 using namespace sailpath;
 using namespace std::chrono_literals;
 using deployment::Announcement;
-using deployment::InstanceBook;
+using deployment::InstanceRegistry;
 
 constexpr core::Timestamp start{1h};
-constexpr core::Duration  belief = 1100ms;
-constexpr core::Duration  outage = 2s;
-constexpr core::Duration  reannounce = 1800ms;
+constexpr core::Duration  retention = 1100ms;
+constexpr core::Duration  outageThreshold = 2s;
+constexpr core::Duration  reannounceWindow = 1800ms;
 
 ////////////////////////////////////////////////////////////
 Announcement announcementOf(const std::string& id, std::uint64_t sequence = 1, bool draining = false)
@@ -30,9 +30,9 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool takesRequests(const InstanceBook& book, const std::string& id)
+bool takesRequests(const InstanceRegistry& registry, const std::string& id)
 {
-    const auto list = book.list();
+    const auto list = registry.list();
     return std::any_of(list.begin(), list.end(),
                        [&](const deployment::Instance& instance) { return instance.id == id && !instance.draining; });
 }
@@ -43,151 +43,152 @@
     Fixture()
     {
         for (const char* id : {"a", "b", "c", "d"})
-            book.announced(announcementOf(id));
+            registry.applyAnnouncement(announcementOf(id));
     }
 
-    InstanceBook book{{belief, outage, reannounce}};
+    InstanceRegistry registry{{retention, outageThreshold, reannounceWindow}};
 };
 
 } // namespace
 
 BOOST_FIXTURE_TEST_SUITE(InstanceBookTest, Fixture)
 
-BOOST_AUTO_TEST_CASE(OneThatVanishesAloneIsLeaving)
+BOOST_AUTO_TEST_CASE(ASingleRemovedInstanceIsLeaving)
 {
-    book.vanished("a", start);
-    book.settle(false, start);
-    BOOST_TEST(!takesRequests(book, "a"));
-    BOOST_TEST(takesRequests(book, "b"));
+    registry.applyRemoval("a", start);
+    registry.expire(false, start);
+    BOOST_TEST(!takesRequests(registry, "a"));
+    BOOST_TEST(takesRequests(registry, "b"));
 }
 
-BOOST_AUTO_TEST_CASE(MostOfAServiceIsBelievedInForAWhile)
+BOOST_AUTO_TEST_CASE(MostOfAServiceIsRetainedForAWhile)
 {
     for (const char* id : {"a", "b", "c"})
-        book.vanished(id, start);
-    book.settle(false, start);
-    BOOST_TEST(takesRequests(book, "a"));
-    BOOST_TEST((book.nextDue() == start + belief));
-    book.settle(false, start + belief);
-    BOOST_TEST(!takesRequests(book, "a"));
-    BOOST_TEST(!book.nextDue());
+        registry.applyRemoval(id, start);
+    registry.expire(false, start);
+    BOOST_TEST(takesRequests(registry, "a"));
+    BOOST_TEST((registry.nextDue() == start + retention));
+    registry.expire(false, start + retention);
+    BOOST_TEST(!takesRequests(registry, "a"));
+    BOOST_TEST(!registry.nextDue());
 }
 
-BOOST_AUTO_TEST_CASE(BesideFailuresOfTheStoreOneIsBelievedInNoLongerThanItTakesToLeave)
+BOOST_AUTO_TEST_CASE(AfterFailuresOfTheStoreAnInstanceIsRetainedNoLongerThanItTakesToLeave)
 {
-    // Hunt: a leaving server's entry vanished four seconds after an outage and got requests for two more.
-    book.vanished("a", start);
-    book.settle(true, start);
-    BOOST_TEST(takesRequests(book, "a"));
-    book.settle(true, start + belief);
-    BOOST_TEST(!takesRequests(book, "a"));
+    // A leaving server, whose entry was removed four seconds after an outage, got requests for two more seconds.
+    registry.applyRemoval("a", start);
+    registry.expire(true, start);
+    BOOST_TEST(takesRequests(registry, "a"));
+    registry.expire(true, start + retention);
+    BOOST_TEST(!takesRequests(registry, "a"));
 }
 
-BOOST_AUTO_TEST_CASE(TimeInWhichTheStoreWasNotHeardCounts)
+BOOST_AUTO_TEST_CASE(TimeWithoutContactToTheStoreCountsAsRetention)
 {
-    book.vanished("a", start - belief);
-    book.settle(true, start);
-    BOOST_TEST(!takesRequests(book, "a"));
+    registry.applyRemoval("a", start - retention);
+    registry.expire(true, start);
+    BOOST_TEST(!takesRequests(registry, "a"));
 }
 
-BOOST_AUTO_TEST_CASE(AfterAnOutageLapsedEntriesMayComeBack)
+BOOST_AUTO_TEST_CASE(AfterAnOutageLostInstancesMayComeBack)
 {
-    // The entries lapsed while the store was away for 4.5 s: all their servers were left alone until they were back.
-    book.renewed(4500ms, start);
+    // The entries expired during a 4.5 s outage of the store, and their live servers got no requests until they had
+    // announced themselves again.
+    registry.applyRefresh(4500ms, start);
     for (const char* id : {"a", "b"})
-        book.vanished(id, start - 4500ms);
-    book.settle(true, start);
-    BOOST_TEST(takesRequests(book, "a"));
-    book.vanished("c", start + 100ms);
-    book.settle(false, start + 1700ms);
-    BOOST_TEST(takesRequests(book, "b"));
-    BOOST_TEST(takesRequests(book, "c"));
-    book.announced(announcementOf("a", 2));
-    book.settle(false, start + reannounce);
-    BOOST_TEST(takesRequests(book, "a"));
-    BOOST_TEST(!takesRequests(book, "b"));
-    BOOST_TEST(!takesRequests(book, "c"));
+        registry.applyRemoval(id, start - 4500ms);
+    registry.expire(true, start);
+    BOOST_TEST(takesRequests(registry, "a"));
+    registry.applyRemoval("c", start + 100ms);
+    registry.expire(false, start + 1700ms);
+    BOOST_TEST(takesRequests(registry, "b"));
+    BOOST_TEST(takesRequests(registry, "c"));
+    registry.applyAnnouncement(announcementOf("a", 2));
+    registry.expire(false, start + reannounceWindow);
+    BOOST_TEST(takesRequests(registry, "a"));
+    BOOST_TEST(!takesRequests(registry, "b"));
+    BOOST_TEST(!takesRequests(registry, "c"));
 }
 
 BOOST_AUTO_TEST_CASE(AfterAnOutageOneMissingEntryIsALeavingServer)
 {
-    book.renewed(4500ms, start);
-    book.vanished("a", start - 4500ms);
-    book.settle(true, start);
-    BOOST_TEST(!takesRequests(book, "a"));
+    registry.applyRefresh(4500ms, start);
+    registry.applyRemoval("a", start - 4500ms);
+    registry.expire(true, start);
+    BOOST_TEST(!takesRequests(registry, "a"));
 }
 
 BOOST_AUTO_TEST_CASE(ADrainingServerDoesNotComeBackAfterAnOutage)
 {
-    book.announced(announcementOf("a", 5, true));
-    book.renewed(4500ms, start);
+    registry.applyAnnouncement(announcementOf("a", 5, true));
+    registry.applyRefresh(4500ms, start);
     for (const char* id : {"a", "b", "c"})
-        book.vanished(id, start - 4500ms);
-    book.settle(true, start);
-    BOOST_TEST(!takesRequests(book, "a"));
-    BOOST_TEST(takesRequests(book, "b"));
+        registry.applyRemoval(id, start - 4500ms);
+    registry.expire(true, start);
+    BOOST_TEST(!takesRequests(registry, "a"));
+    BOOST_TEST(takesRequests(registry, "b"));
 }
 
-BOOST_AUTO_TEST_CASE(AShortSilenceIsNoOutage)
+BOOST_AUTO_TEST_CASE(AShortGapIsNoOutage)
 {
-    book.renewed(1900ms, start);
+    registry.applyRefresh(1900ms, start);
     for (const char* id : {"a", "b", "c"})
-        book.vanished(id, start - 1900ms);
-    book.settle(true, start);
-    BOOST_TEST(!takesRequests(book, "a"));
+        registry.applyRemoval(id, start - 1900ms);
+    registry.expire(true, start);
+    BOOST_TEST(!takesRequests(registry, "a"));
 }
 
-BOOST_AUTO_TEST_CASE(OneThatComesBackIsBelievedInAgain)
+BOOST_AUTO_TEST_CASE(AnInstanceThatAnnouncesItselfAgainIsUsable)
 {
-    book.vanished("a", start);
-    book.settle(false, start);
-    book.announced(announcementOf("a", 2));
-    BOOST_TEST(takesRequests(book, "a"));
+    registry.applyRemoval("a", start);
+    registry.expire(false, start);
+    registry.applyAnnouncement(announcementOf("a", 2));
+    BOOST_TEST(takesRequests(registry, "a"));
 }
 
-BOOST_AUTO_TEST_CASE(DrainingIsForGood)
+BOOST_AUTO_TEST_CASE(DrainingIsFinal)
 {
-    book.announced(announcementOf("a", 5, true));
-    BOOST_TEST(!takesRequests(book, "a"));
-    book.announced(announcementOf("a", 4));
-    BOOST_TEST(!takesRequests(book, "a"));
-    book.announced(announcementOf("a", 6));
-    BOOST_TEST(!takesRequests(book, "a"));
-    book.vanished("a", start);
-    book.settle(true, start);
-    book.announced(announcementOf("a", 7));
-    BOOST_TEST(!takesRequests(book, "a"));
+    registry.applyAnnouncement(announcementOf("a", 5, true));
+    BOOST_TEST(!takesRequests(registry, "a"));
+    registry.applyAnnouncement(announcementOf("a", 4));
+    BOOST_TEST(!takesRequests(registry, "a"));
+    registry.applyAnnouncement(announcementOf("a", 6));
+    BOOST_TEST(!takesRequests(registry, "a"));
+    registry.applyRemoval("a", start);
+    registry.expire(true, start);
+    registry.applyAnnouncement(announcementOf("a", 7));
+    BOOST_TEST(!takesRequests(registry, "a"));
 }
 
 BOOST_AUTO_TEST_CASE(ALateWriteOfAnOldSequenceChangesNothing)
 {
-    book.vanished("a", start);
-    book.settle(false, start);
-    book.announced(announcementOf("a", 0));
-    BOOST_TEST(!takesRequests(book, "a"));
+    registry.applyRemoval("a", start);
+    registry.expire(false, start);
+    registry.applyAnnouncement(announcementOf("a", 0));
+    BOOST_TEST(!takesRequests(registry, "a"));
 }
 
 BOOST_AUTO_TEST_CASE(AnEntryWrittenAnewWithAnotherSequenceOnlyChangesNothing)
 {
-    const auto before = book.list();
+    const auto before = registry.list();
     for (std::uint64_t sequence = 2; sequence < 20; ++sequence)
-        book.announced(announcementOf("b", sequence));
-    BOOST_TEST((book.list() == before));
-    BOOST_TEST(!book.nextDue());
+        registry.applyAnnouncement(announcementOf("b", sequence));
+    BOOST_TEST((registry.list() == before));
+    BOOST_TEST(!registry.nextDue());
 }
 
 BOOST_AUTO_TEST_CASE(OnceDrainingNothingThatTheStoreDoesBringsAnInstanceBack)
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed)
     {
-        InstanceBook    tried{{belief, outage, reannounce}};
-        core::Random    random(seed);
-        core::Timestamp now = start;
-        const char*     names[] = {"a", "b", "c", "d"};
+        InstanceRegistry seeded{{retention, outageThreshold, reannounceWindow}};
+        core::Random     random(seed);
+        core::Timestamp  now = start;
+        const char*      names[] = {"a", "b", "c", "d"};
         for (const char* id : names)
-            tried.announced(announcementOf(id, 5));
-        tried.announced(announcementOf("a", 6, true));
-        // Within the time that instances are remembered after they left.
+            seeded.applyAnnouncement(announcementOf(id, 5));
+        seeded.applyAnnouncement(announcementOf("a", 6, true));
+        // Within the 60 s for which dropped instances are remembered.
         while (now < start + 50s)
         {
             now += core::Duration(random.below(900'000));
@@ -195,34 +196,34 @@
             switch (random.below(4))
             {
             case 0:
-                tried.renewed(core::Duration(random.below(9'000'000)), now);
+                seeded.applyRefresh(core::Duration(random.below(9'000'000)), now);
                 break;
             case 1:
-                tried.vanished(id, now - core::Duration(random.below(5'000'000)));
+                seeded.applyRemoval(id, now - core::Duration(random.below(5'000'000)));
                 break;
             case 2:
-                tried.announced(announcementOf(id, random.below(12)));
+                seeded.applyAnnouncement(announcementOf(id, random.below(12)));
                 break;
             default:
                 break;
             }
-            tried.settle(random.unit() < 0.5, now);
-            BOOST_REQUIRE_MESSAGE(!takesRequests(tried, "a"), "seed " << seed);
+            seeded.expire(random.unit() < 0.5, now);
+            BOOST_REQUIRE_MESSAGE(!takesRequests(seeded, "a"), "seed " << seed);
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(OnceGivenUpOnlyItsOwnNewEntryBringsAnInstanceBack)
+BOOST_AUTO_TEST_CASE(OnceDroppedOnlyItsOwnNewEntryBringsAnInstanceBack)
 {
     for (std::uint64_t seed = 1; seed <= 200; ++seed)
     {
-        InstanceBook    tried{{belief, outage, reannounce}};
-        core::Random    random(seed);
-        core::Timestamp now = start;
-        const char*     names[] = {"a", "b", "c", "d"};
+        InstanceRegistry seeded{{retention, outageThreshold, reannounceWindow}};
+        core::Random     random(seed);
+        core::Timestamp  now = start;
+        const char*      names[] = {"a", "b", "c", "d"};
         for (const char* id : names)
-            tried.announced(announcementOf(id, 5));
-        bool givenUp = false;
+            seeded.applyAnnouncement(announcementOf(id, 5));
+        bool dropped = false;
         while (now < start + 200s)
         {
             now += core::Duration(random.below(900'000));
@@ -230,51 +231,51 @@
             switch (random.below(4))
             {
             case 0:
-                tried.renewed(core::Duration(random.below(9'000'000)), now);
+                seeded.applyRefresh(core::Duration(random.below(9'000'000)), now);
                 break;
             case 1:
-                tried.vanished(id, now - core::Duration(random.below(5'000'000)));
+                seeded.applyRemoval(id, now - core::Duration(random.below(5'000'000)));
                 break;
             case 2:
                 if (id != names[0])
-                    tried.announced(announcementOf(id, random.below(12)));
+                    seeded.applyAnnouncement(announcementOf(id, random.below(12)));
                 break;
             default:
                 break;
             }
-            tried.settle(random.unit() < 0.5, now);
-            givenUp = givenUp || !takesRequests(tried, "a");
-            BOOST_REQUIRE_MESSAGE(givenUp != takesRequests(tried, "a"), "seed " << seed);
+            seeded.expire(random.unit() < 0.5, now);
+            dropped = dropped || !takesRequests(seeded, "a");
+            BOOST_REQUIRE_MESSAGE(dropped != takesRequests(seeded, "a"), "seed " << seed);
         }
-        BOOST_TEST(givenUp);
+        BOOST_TEST(dropped);
     }
 }
 
-BOOST_AUTO_TEST_CASE(FurtherRenewalsDoNotProlongTheTimeForLapsedEntries)
+BOOST_AUTO_TEST_CASE(FurtherRefreshesDoNotExtendTheReannounceWindow)
 {
-    book.renewed(4500ms, start);
+    registry.applyRefresh(4500ms, start);
     for (const char* id : {"a", "b", "c"})
-        book.vanished(id, start - 4500ms);
-    book.renewed(4300ms, start + 300ms);
-    book.renewed(400ms, start + 1500ms);
-    book.settle(true, start + reannounce - 1ms);
-    BOOST_TEST(takesRequests(book, "a"));
-    book.settle(true, start + reannounce);
-    BOOST_TEST(!takesRequests(book, "a"));
-    BOOST_TEST(takesRequests(book, "d"));
+        registry.applyRemoval(id, start - 4500ms);
+    registry.applyRefresh(4300ms, start + 300ms);
+    registry.applyRefresh(400ms, start + 1500ms);
+    registry.expire(true, start + reannounceWindow - 1ms);
+    BOOST_TEST(takesRequests(registry, "a"));
+    registry.expire(true, start + reannounceWindow);
+    BOOST_TEST(!takesRequests(registry, "a"));
+    BOOST_TEST(takesRequests(registry, "d"));
 }
 
-BOOST_AUTO_TEST_CASE(WithoutAnOutageASoleServerThatVanishesIsBelievedInNoLonger)
+BOOST_AUTO_TEST_CASE(WithoutAnOutageASoleRemovedServerIsRetainedNoLonger)
 {
     Announcement sole = announcementOf("sole");
     sole.instance.service = "small";
-    book.announced(sole);
-    book.renewed(outage - 1ms, start);
-    book.vanished("sole", start - 200ms);
-    book.settle(false, start);
-    BOOST_TEST(takesRequests(book, "sole"));
-    book.settle(false, start + belief - 200ms);
-    BOOST_TEST(!takesRequests(book, "sole"));
+    registry.applyAnnouncement(sole);
+    registry.applyRefresh(outageThreshold - 1ms, start);
+    registry.applyRemoval("sole", start - 200ms);
+    registry.expire(false, start);
+    BOOST_TEST(takesRequests(registry, "sole"));
+    registry.expire(false, start + retention - 200ms);
+    BOOST_TEST(!takesRequests(registry, "sole"));
 }
 
 BOOST_AUTO_TEST_CASE(AfterAnOutageOneMissingOfASmallServiceIsALeavingServer)
@@ -283,49 +284,50 @@
     {
         Announcement other = announcementOf("other" + std::to_string(i));
         other.instance.service = "other";
-        book.announced(other);
+        registry.applyAnnouncement(other);
     }
-    book.renewed(4500ms, start);
-    book.vanished("a", start - 4500ms);
-    book.settle(true, start);
-    BOOST_TEST(!takesRequests(book, "a"));
-    BOOST_TEST(takesRequests(book, "b"));
+    registry.applyRefresh(4500ms, start);
+    registry.applyRemoval("a", start - 4500ms);
+    registry.expire(true, start);
+    BOOST_TEST(!takesRequests(registry, "a"));
+    BOOST_TEST(takesRequests(registry, "b"));
 }
 
 BOOST_AUTO_TEST_CASE(OneOfASmallServiceThatDrainedDoesNotComeBackAfterAnOutage)
 {
     Announcement sole = announcementOf("sole", 1, true);
     sole.instance.service = "small";
-    book.announced(sole);
-    book.renewed(4500ms, start);
-    book.vanished("sole", start - 4500ms);
-    book.settle(true, start);
-    BOOST_TEST(!takesRequests(book, "sole"));
+    registry.applyAnnouncement(sole);
+    registry.applyRefresh(4500ms, start);
+    registry.applyRemoval("sole", start - 4500ms);
+    registry.expire(true, start);
+    BOOST_TEST(!takesRequests(registry, "sole"));
     sole.sequence = 2;
     sole.instance.draining = false;
-    book.announced(sole);
-    BOOST_TEST(!takesRequests(book, "sole"));
+    registry.applyAnnouncement(sole);
+    BOOST_TEST(!takesRequests(registry, "sole"));
 }
 
-BOOST_AUTO_TEST_CASE(AfterAnOutageAWholeSmallServiceThatLapsedMayComeBack)
+BOOST_AUTO_TEST_CASE(AfterAnOutageAWholeLostSmallServiceMayComeBack)
 {
-    // The other services' entries outlived the outage, so few of all are missing, but nothing of this one is left.
+    // Entries of the other services survived the outage, so a small share of all is missing, but this service is
+    // missing as a whole.
     for (int i = 0; i < 40; ++i)
     {
         Announcement other = announcementOf("other" + std::to_string(i));
         other.instance.service = "other";
-        book.announced(other);
+        registry.applyAnnouncement(other);
     }
-    book.renewed(4500ms, start);
+    registry.applyRefresh(4500ms, start);
     for (const char* id : {"a", "b", "c", "d"})
-        book.vanished(id, start - 4500ms);
-    book.settle(true, start);
-    BOOST_TEST(takesRequests(book, "a"));
-    book.settle(true, start + reannounce);
-    BOOST_TEST(!takesRequests(book, "a"));
+        registry.applyRemoval(id, start - 4500ms);
+    registry.expire(true, start);
+    BOOST_TEST(takesRequests(registry, "a"));
+    registry.expire(true, start + reannounceWindow);
+    BOOST_TEST(!takesRequests(registry, "a"));
 }
 
-BOOST_AUTO_TEST_CASE(ChangesBringWhoTookAllBeforeToTheSameList)
+BOOST_AUTO_TEST_CASE(AppliedChangesGiveTheSameListAsTheRegistry)
 {
     core::Random                                random(5);
     std::map<std::string, deployment::Instance> taken;
@@ -337,47 +339,47 @@
         announcement.instance.service = random.below(4) == 0 ? "other" : "portal";
         announcement.instance.born = random.below(3);
         if (random.below(3) > 0)
-            book.announced(announcement);
+            registry.applyAnnouncement(announcement);
         else if (random.below(10) == 0)
-            book.unreadable(id, now);
+            registry.applyUnreadableEntry(id, now);
         else
-            book.vanished(id, now);
+            registry.applyRemoval(id, now);
         if (random.below(20) == 0)
-            book.renewed(3s, now);
+            registry.applyRefresh(3s, now);
         now += std::chrono::milliseconds{random.below(3000)};
-        book.settle(random.below(2) == 0, now);
+        registry.expire(random.below(2) == 0, now);
         if (random.below(3) == 0)
             continue;
-        auto changes = book.takeChanges();
+        auto changes = registry.takeChanges();
         for (const auto& gone : changes.gone)
             BOOST_TEST(taken.erase(gone.id) == 1U);
         for (auto& present : changes.present)
             taken[present.id] = present;
-        const auto list = book.list();
+        const auto list = registry.list();
         BOOST_REQUIRE_EQUAL(list.size(), taken.size());
         for (const auto& instance : list)
             BOOST_REQUIRE(taken[instance.id] == instance);
     }
 }
 
-BOOST_AUTO_TEST_CASE(AWakeUpAndAChangeCostTheSameWhateverTheNumberOfServers)
+BOOST_AUTO_TEST_CASE(TheCostOfAChangeDoesNotDependOnTheNumberOfServers)
 {
     for (const unsigned servers : {250U, 1000U, 4000U, 20000U})
     {
-        InstanceBook many({belief, outage, reannounce});
+        InstanceRegistry many({retention, outageThreshold, reannounceWindow});
         for (unsigned i = 0; i < servers; ++i)
-            many.announced(announcementOf("s" + std::to_string(i)));
+            many.applyAnnouncement(announcementOf("s" + std::to_string(i)));
         BOOST_TEST(many.takeChanges().present.size() == servers);
-        const auto before = many.looked();
+        const auto before = many.entriesExamined();
         for (unsigned i = 0; i < 10; ++i)
         {
-            many.announced(announcementOf("s" + std::to_string(i), 2, true));
-            many.vanished("s" + std::to_string(i + 20), start);
-            many.settle(false, start);
+            many.applyAnnouncement(announcementOf("s" + std::to_string(i), 2, true));
+            many.applyRemoval("s" + std::to_string(i + 20), start);
+            many.expire(false, start);
             (void)many.nextDue();
             BOOST_TEST(many.takeChanges().present.size() == 1U);
         }
-        BOOST_TEST(many.looked() - before <= 60U, servers);
+        BOOST_TEST(many.entriesExamined() - before <= 60U, servers);
     }
 }
 
--- a/test/deployment/KeyTable.test.cpp
+++ b/test/deployment/KeyTable.test.cpp
@@ -18,7 +18,7 @@
 
 BOOST_AUTO_TEST_SUITE(KeyTableTest)
 
-BOOST_AUTO_TEST_CASE(EveryKeyLeadsToItsWorkspaceAndNoOtherTextDoes)
+BOOST_AUTO_TEST_CASE(EveryKeyIsFoundAndNoOtherTextIs)
 {
     const KeyTable keys(withWorkspaces());
     BOOST_TEST(keys.needed());
--- a/test/deployment/ServerLives.test.cpp
+++ b/test/deployment/ServerLives.test.cpp
@@ -1,4 +1,5 @@
-// What a node believes of a server that starts again under the id that it had.
+// Guards against mixing up the lives of a server that restarts under the same id: a late write of an earlier life must
+// not replace the new one, and draining must not outlast the life that announced it.
 
 #include <sailpath/deployment/InstanceRegistry.hpp>
 
@@ -11,10 +12,10 @@
 using namespace sailpath;
 using namespace std::chrono_literals;
 using deployment::Announcement;
-using deployment::InstanceBook;
+using deployment::InstanceRegistry;
 
 ////////////////////////////////////////////////////////////
-Announcement wordOf(std::uint64_t born, std::uint64_t sequence, bool draining = false)
+Announcement announcementOf(std::uint64_t born, std::uint64_t sequence, bool draining = false)
 {
     Announcement announcement;
     announcement.instance.id = "a";
@@ -26,11 +27,11 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief The life that takes requests; 0 for none
+/// \brief Get the start of the life that takes requests; 0 for none
 ////////////////////////////////////////////////////////////
-std::uint64_t takes(const InstanceBook& book)
+std::uint64_t activeLife(const InstanceRegistry& registry)
 {
-    const auto list = book.list();
+    const auto list = registry.list();
     return list.empty() || list[0].draining ? 0 : list[0].born;
 }
 
@@ -38,52 +39,52 @@
 
 BOOST_AUTO_TEST_SUITE(ServerLivesTest)
 
-BOOST_AUTO_TEST_CASE(ItsCountsBeginAnew)
+BOOST_AUTO_TEST_CASE(ANewLifeStartsItsOwnSequence)
 {
-    InstanceBook book({1100ms, 2s, 1800ms});
-    BOOST_TEST(book.announced(wordOf(1000, 40)));
-    BOOST_TEST(book.announced(wordOf(2000, 1)));
-    BOOST_TEST(takes(book) == 2000U);
-    BOOST_TEST(!book.announced(wordOf(2000, 0)));
+    InstanceRegistry registry({1100ms, 2s, 1800ms});
+    BOOST_TEST(registry.applyAnnouncement(announcementOf(1000, 40)));
+    BOOST_TEST(registry.applyAnnouncement(announcementOf(2000, 1)));
+    BOOST_TEST(activeLife(registry) == 2000U);
+    BOOST_TEST(!registry.applyAnnouncement(announcementOf(2000, 0)));
 }
 
-BOOST_AUTO_TEST_CASE(ThatItDrainedBeforeIsOver)
+BOOST_AUTO_TEST_CASE(DrainingEndsWithItsLife)
 {
-    InstanceBook book({1100ms, 2s, 1800ms});
-    (void)book.announced(wordOf(1000, 1, true));
-    BOOST_TEST(takes(book) == 0U);
-    (void)book.announced(wordOf(2000, 1));
-    BOOST_TEST(takes(book) == 2000U);
+    InstanceRegistry registry({1100ms, 2s, 1800ms});
+    (void)registry.applyAnnouncement(announcementOf(1000, 1, true));
+    BOOST_TEST(activeLife(registry) == 0U);
+    (void)registry.applyAnnouncement(announcementOf(2000, 1));
+    BOOST_TEST(activeLife(registry) == 2000U);
 }
 
-BOOST_AUTO_TEST_CASE(ALateWordOfTheEarlierLifeChangesNothing)
+BOOST_AUTO_TEST_CASE(ALateWriteOfAnEarlierLifeIsIgnored)
 {
-    InstanceBook book({1100ms, 2s, 1800ms});
-    (void)book.announced(wordOf(1000, 40));
-    (void)book.announced(wordOf(2000, 1));
-    BOOST_TEST(!book.announced(wordOf(1000, 41, true)));
-    BOOST_TEST(takes(book) == 2000U);
+    InstanceRegistry registry({1100ms, 2s, 1800ms});
+    (void)registry.applyAnnouncement(announcementOf(1000, 40));
+    (void)registry.applyAnnouncement(announcementOf(2000, 1));
+    BOOST_TEST(!registry.applyAnnouncement(announcementOf(1000, 41, true)));
+    BOOST_TEST(activeLife(registry) == 2000U);
 }
 
-BOOST_AUTO_TEST_CASE(AClockThatWasSetBackMakesNoEarlierLife)
+BOOST_AUTO_TEST_CASE(ALifeAfterAClockWasSetBackIsNewer)
 {
-    InstanceBook book({1100ms, 2s, 1800ms});
-    (void)book.announced(wordOf(5000, 40));
-    BOOST_TEST(book.announced(wordOf(3000, 1)));
-    BOOST_TEST(takes(book) == 3000U);
-    BOOST_TEST(!book.announced(wordOf(5000, 41)));
+    InstanceRegistry registry({1100ms, 2s, 1800ms});
+    (void)registry.applyAnnouncement(announcementOf(5000, 40));
+    BOOST_TEST(registry.applyAnnouncement(announcementOf(3000, 1)));
+    BOOST_TEST(activeLife(registry) == 3000U);
+    BOOST_TEST(!registry.applyAnnouncement(announcementOf(5000, 41)));
 }
 
-BOOST_AUTO_TEST_CASE(AnUnreadableEntryNamesNoServerUntilItCanBeReadAgain)
+BOOST_AUTO_TEST_CASE(AnUnreadableEntryDropsTheServerUntilItIsReadable)
 {
     const core::Timestamp now{1h};
-    InstanceBook          book({1100ms, 2s, 1800ms});
-    (void)book.announced(wordOf(1000, 1));
-    book.unreadable("a", now);
-    book.settle(true, now);
-    BOOST_TEST(takes(book) == 0U);
-    (void)book.announced(wordOf(1000, 2));
-    BOOST_TEST(takes(book) == 1000U);
+    InstanceRegistry      registry({1100ms, 2s, 1800ms});
+    (void)registry.applyAnnouncement(announcementOf(1000, 1));
+    registry.applyUnreadableEntry("a", now);
+    registry.expire(true, now);
+    BOOST_TEST(activeLife(registry) == 0U);
+    (void)registry.applyAnnouncement(announcementOf(1000, 2));
+    BOOST_TEST(activeLife(registry) == 1000U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/fleet/QuarantineKeeper.test.cpp
+++ b/test/fleet/QuarantineKeeper.test.cpp
@@ -37,7 +37,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief The first write within a time, null when there is none
+/// \brief Get the first write within a time, polling every 10 ms; null when none is due
 ////////////////////////////////////////////////////////////
 std::optional<Item> firstWrite(QuarantineKeeper& keeper, core::Duration within)
 {
@@ -53,22 +53,22 @@
 
 BOOST_AUTO_TEST_SUITE(QuarantineKeeperTest)
 
-BOOST_AUTO_TEST_CASE(WhatIsTakenBackIsNotWrittenAndIsRemovedFromTheStore)
+BOOST_AUTO_TEST_CASE(AWithdrawnQuarantineIsNotWrittenAndIsRemovedFromTheStore)
 {
     Quarantine       wrong = concludedBy("here");
     QuarantineKeeper unwritten("first", 1);
-    unwritten.concluded(wrong, at(0s));
+    unwritten.addConclusion(wrong, at(0s));
     wrong.until = at(1ms).now;
-    unwritten.concluded(wrong, at(1ms));
+    unwritten.addConclusion(wrong, at(1ms));
     BOOST_TEST(!firstWrite(unwritten, 10s));
 
     QuarantineKeeper writer("first", 1);
-    writer.concluded(concludedBy("here"), at(0s));
+    writer.addConclusion(concludedBy("here"), at(0s));
     Item item = *firstWrite(writer, 10ms);
-    writer.written(WriteStatus::Done);
+    writer.finishWrite(WriteStatus::Done);
     item.revision = 7;
-    BOOST_TEST(writer.changed(item, at(20ms)));
-    writer.concluded(wrong, at(30ms));
+    BOOST_TEST(writer.applyEntry(item, at(20ms)));
+    writer.addConclusion(wrong, at(30ms));
     const auto removal = firstWrite(writer, 3s);
     BOOST_REQUIRE(removal);
     BOOST_TEST(removal->gone);
@@ -79,14 +79,14 @@
 {
     QuarantineKeeper first("first", 1);
     QuarantineKeeper second("second", 2);
-    first.concluded(concludedBy("here"), at(0s));
-    second.concluded(concludedBy("peers"), at(0s));
+    first.addConclusion(concludedBy("here"), at(0s));
+    second.addConclusion(concludedBy("peers"), at(0s));
     auto item = first.nextWrite(at(0s));
     BOOST_REQUIRE(item);
     BOOST_TEST(item->revision == 0U);
     BOOST_TEST(!second.nextWrite(at(1s)));
     item->revision = 40;
-    BOOST_TEST(second.changed(*item, at(100ms)));
+    BOOST_TEST(second.applyEntry(*item, at(100ms)));
     BOOST_TEST(!firstWrite(second, 1min));
     BOOST_REQUIRE_EQUAL(second.list().size(), 1U);
     BOOST_TEST(second.list()[0].stored);
@@ -95,59 +95,59 @@
     BOOST_TEST((second.list()[0].until == at(10min).now));
 }
 
-BOOST_AUTO_TEST_CASE(ItIsWrittenAgainUntilTheStoreHasIt)
+BOOST_AUTO_TEST_CASE(AWriteIsRepeatedUntilTheStoreHasTheEntry)
 {
     QuarantineKeeper keeper("node", 1);
-    keeper.concluded(concludedBy("here"), at(0s));
+    keeper.addConclusion(concludedBy("here"), at(0s));
     BOOST_REQUIRE(keeper.nextWrite(at(0s)));
     BOOST_TEST(!keeper.nextWrite(at(5s)));
-    keeper.written(WriteStatus::Unknown);
+    keeper.finishWrite(WriteStatus::Unknown);
     const auto again = firstWrite(keeper, 2s);
     BOOST_REQUIRE(again);
-    keeper.written(WriteStatus::Done);
+    keeper.finishWrite(WriteStatus::Done);
     auto item = *again;
     item.revision = 41;
-    BOOST_TEST(keeper.changed(item, at(2s)));
+    BOOST_TEST(keeper.applyEntry(item, at(2s)));
     BOOST_TEST(!firstWrite(keeper, 1min));
 }
 
-BOOST_AUTO_TEST_CASE(AWiderOneReplacesTheEntry)
+BOOST_AUTO_TEST_CASE(AWiderQuarantineReplacesTheEntry)
 {
     QuarantineKeeper keeper("node", 1);
-    keeper.concluded(concludedBy("here"), at(0s));
+    keeper.addConclusion(concludedBy("here"), at(0s));
     auto item = *keeper.nextWrite(at(0s));
-    keeper.written(WriteStatus::Done);
+    keeper.finishWrite(WriteStatus::Done);
     item.revision = 42;
-    (void)keeper.changed(item, at(0s));
-    keeper.concluded(concludedBy("here", std::nullopt), at(1s));
+    (void)keeper.applyEntry(item, at(0s));
+    keeper.addConclusion(concludedBy("here", std::nullopt), at(1s));
     const auto wider = keeper.nextWrite(at(1s));
     BOOST_REQUIRE(wider);
     BOOST_TEST(wider->revision == 42U);
 }
 
-BOOST_AUTO_TEST_CASE(WhatOperatorsRemoveIsNotWrittenAgain)
+BOOST_AUTO_TEST_CASE(AnEntryThatOperatorsRemoveIsNotWrittenAgain)
 {
     QuarantineKeeper keeper("node", 1);
-    keeper.concluded(concludedBy("here"), at(0s));
+    keeper.addConclusion(concludedBy("here"), at(0s));
     auto item = *keeper.nextWrite(at(0s));
-    keeper.written(WriteStatus::Done);
+    keeper.finishWrite(WriteStatus::Done);
     item.revision = 43;
-    (void)keeper.changed(item, at(0s));
+    (void)keeper.applyEntry(item, at(0s));
     item.gone = true;
     item.revision = 44;
-    BOOST_TEST(keeper.changed(item, at(1s)));
+    BOOST_TEST(keeper.applyEntry(item, at(1s)));
     BOOST_TEST(keeper.list().empty());
     BOOST_TEST(!firstWrite(keeper, 1min));
 }
 
-BOOST_AUTO_TEST_CASE(WhatHasRunOutIsRemoved)
+BOOST_AUTO_TEST_CASE(AnExpiredEntryIsRemoved)
 {
     QuarantineKeeper keeper("node", 1);
-    keeper.concluded(concludedBy("here"), at(0s));
+    keeper.addConclusion(concludedBy("here"), at(0s));
     auto item = *keeper.nextWrite(at(0s));
-    keeper.written(WriteStatus::Done);
+    keeper.finishWrite(WriteStatus::Done);
     item.revision = 45;
-    (void)keeper.changed(item, at(0s));
+    (void)keeper.applyEntry(item, at(0s));
     BOOST_TEST(!keeper.nextWrite(at(10min)));
     const auto removal = keeper.nextWrite(at(10min + 66s));
     BOOST_REQUIRE(removal);
@@ -155,19 +155,19 @@
     BOOST_TEST(removal->revision == 45U);
 }
 
-BOOST_AUTO_TEST_CASE(EntriesOfOtherWritersSayNothing)
+BOOST_AUTO_TEST_CASE(UnreadableEntriesOfOtherWritersAreIgnored)
 {
     QuarantineKeeper  keeper("node", 1);
     const std::string key = "sailpath/quarantine/" + concludedBy("here").content.text();
     for (const char* value :
          {"", "caller=x servers=3 untilMs=1 by=n", "caller=7 servers=-1 untilMs=5", "caller=7 servers=3",
           "caller=7 servers=3 untilMs=99999999999999999999999", "{\"caller\":7}"})
-        BOOST_TEST(!keeper.changed({key, value, 5, false}, at(0s)), value);
-    BOOST_TEST(!keeper.changed({key, std::string(100'000, 'x'), 5, false}, at(0s)));
-    BOOST_TEST(!keeper.changed({"sailpath/quarantine/none", "caller=7 servers=3 untilMs=5 by=n", 5, false}, at(0s)));
+        BOOST_TEST(!keeper.applyEntry({key, value, 5, false}, at(0s)), value);
+    BOOST_TEST(!keeper.applyEntry({key, std::string(100'000, 'x'), 5, false}, at(0s)));
+    BOOST_TEST(!keeper.applyEntry({"sailpath/quarantine/none", "caller=7 servers=3 untilMs=5 by=n", 5, false}, at(0s)));
     BOOST_TEST(keeper.list().empty());
-    // Nor does one hold for longer than any of ours, however far its end lies.
-    BOOST_TEST(keeper.changed({key, "caller=7 servers=3 untilMs=9000000000000000000 by=n", 5, false}, at(0s)));
+    // An entry of another writer lasts no longer than this node's own, however late its end is.
+    BOOST_TEST(keeper.applyEntry({key, "caller=7 servers=3 untilMs=9000000000000000000 by=n", 5, false}, at(0s)));
     BOOST_TEST((keeper.list()[0].until <= at(10min).now));
 }
 
--- a/test/platform/Platform.test.cpp
+++ b/test/platform/Platform.test.cpp
@@ -106,39 +106,39 @@
         settings.listen = {"127.0.0.1", 0};
         settings.replica.self = {"127.0.0.1:1", "dc", 0, 0};
         settings.replica.watchWait = 100ms;
-        settings.belief = {200ms, 300ms, 300ms};
+        settings.retention = {200ms, 300ms, 300ms};
         return settings;
     }
 
     /// \brief Wait until what was told last is as wanted
-    bool reaches(const std::function<bool(const deployment::Declared&)>& condition)
+    bool reaches(const std::function<bool(const deployment::DeclaredState&)>& condition)
     {
         std::unique_lock<std::mutex> lock(mutex);
         return changed.wait_for(lock, 10s, [&] { return condition(last); });
     }
 
     /// \brief Whether an instance takes requests, by what was told last
-    static bool takes(const deployment::Declared& declared, const std::string& id)
+    static bool takes(const deployment::DeclaredState& declared, const std::string& id)
     {
         return std::any_of(declared.instances.begin(), declared.instances.end(),
                            [&](const deployment::Instance& instance)
                            { return instance.id == id && !instance.draining; });
     }
 
-    StoreStandIn                      store;
-    platform::JsonTranslator          translator;
-    QuietLog                          log;
-    std::mutex                        mutex;
-    deployment::Declared              last;
-    std::vector<deployment::Declared> all;
-    std::condition_variable           changed;
-    fleet::FleetThread                thread{
+    StoreStandIn                           store;
+    platform::JsonTranslator               translator;
+    QuietLog                               log;
+    std::mutex                             mutex;
+    deployment::DeclaredState              last;
+    std::vector<deployment::DeclaredState> all;
+    std::condition_variable                changed;
+    fleet::FleetThread                     thread{
         settingsOf(),
         [this](asio::io_context& loop) {
             return std::make_unique<platform::KvSource>(loop, adapters::settings::Endpoint{"127.0.0.1", store.port()});
         },
         translator,
-        [this](const deployment::Declared& declared)
+        [this](const deployment::DeclaredState& declared)
         {
             const std::lock_guard<std::mutex> lock(mutex);
             last = support::merged(last, declared);
@@ -196,7 +196,7 @@
         BOOST_REQUIRE_MESSAGE(read, findings.text());
         BOOST_REQUIRE_EQUAL(read->routes.size(), 2U);
         BOOST_TEST(read->routes[0].repeatable == repeatable);
-        BOOST_TEST(read->unknownWords.empty() == known);
+        BOOST_TEST(read->unknownKeywords.empty() == known);
     }
 }
 
@@ -557,7 +557,7 @@
     const platform::JsonTranslator translator;
     QuietLog                       log;
     std::mutex                     mutex;
-    deployment::Declared           last;
+    deployment::DeclaredState      last;
     std::condition_variable        changed;
     fleet::FleetSettings           settings;
     settings.listen = {"127.0.0.1", 0};
@@ -568,7 +568,7 @@
             return std::make_unique<platform::KvSource>(loop, adapters::settings::Endpoint{"127.0.0.1", store.port()});
         },
         translator,
-        [&](deployment::Declared declared)
+        [&](deployment::DeclaredState declared)
         {
             const std::lock_guard<std::mutex> lock(mutex);
             last = support::merged(last, std::move(declared));
--- a/test/support/DeclaredState.hpp
+++ b/test/support/DeclaredState.hpp
@@ -7,28 +7,28 @@
 namespace sailpath::support
 {
 ////////////////////////////////////////////////////////////
-/// \brief What has been declared in all, after one more telling
+/// \brief Merge a published state, complete or changes only, into the state before
 ////////////////////////////////////////////////////////////
-inline deployment::Declared merged(const deployment::Declared& before, deployment::Declared told)
+inline deployment::DeclaredState merged(const deployment::DeclaredState& before, deployment::DeclaredState update)
 {
-    if (told.whole)
-        return told;
+    if (update.whole)
+        return update;
     std::vector<deployment::Instance> instances = before.instances;
     const auto                        drop = [&instances](const deployment::Instance& instance)
     { std::erase_if(instances, [&](const auto& known) { return known.id == instance.id; }); };
-    for (const deployment::Instance& instance : told.gone)
+    for (const deployment::Instance& instance : update.gone)
         drop(instance);
-    for (const deployment::Instance& instance : told.instances)
+    for (const deployment::Instance& instance : update.instances)
     {
         drop(instance);
         instances.push_back(instance);
     }
     std::sort(instances.begin(), instances.end(),
               [](const auto& left, const auto& right) { return left.id < right.id; });
-    told.whole = true;
-    told.gone.clear();
-    told.instances = std::move(instances);
-    return told;
+    update.whole = true;
+    update.gone.clear();
+    update.instances = std::move(instances);
+    return update;
 }
 
 } // namespace sailpath::support
--- a/test/support/GatewayFixture.hpp
+++ b/test/support/GatewayFixture.hpp
@@ -164,7 +164,7 @@
     unsigned                        slots{3}; //!< Of the server
     asio::io_context                context{1};
     std::optional<gateway::Gateway> gateway;
-    deployment::Declared            declared;
+    deployment::DeclaredState       declared;
     std::thread                     thread;
 };
 
--- a/test/support/OneRouteFixture.hpp
+++ b/test/support/OneRouteFixture.hpp
@@ -64,9 +64,9 @@
         return found == steps.end() ? nullptr : &*found;
     }
 
-    core::Timestamp      now{std::chrono::hours{1}};
-    balance::Balancer    balancer{settingsOf(), now};
-    deployment::Declared declared;
+    core::Timestamp           now{std::chrono::hours{1}};
+    balance::Balancer         balancer{settingsOf(), now};
+    deployment::DeclaredState declared;
 };
 
 } // namespace sailpath::support
--- a/test/support/QuotaFleet.hpp
+++ b/test/support/QuotaFleet.hpp
@@ -11,7 +11,7 @@
 {
 using namespace std::chrono_literals;
 using balance::WorkspaceQuotas;
-using deployment::LimitNews;
+using deployment::LimitReport;
 
 inline constexpr core::Timestamp start{1h};
 inline constexpr auto            tick = 5ms;
@@ -133,7 +133,7 @@
     {
         core::Timestamp at;
         unsigned        from;
-        LimitNews       news;
+        LimitReport     news;
     };
 
     void arrive()
@@ -150,10 +150,10 @@
     {
         for (unsigned i = 0; i < m_nodes.size(); ++i)
         {
-            std::vector<LimitNews> told;
+            std::vector<LimitReport> told;
             m_nodes[i]->takeNews(told);
             news += told.size();
-            for (const LimitNews& one : told)
+            for (const LimitReport& one : told)
                 m_way.push_back({m_now + m_load.newsWay, i, one});
         }
     }
--- a/test/support/ServiceModel.hpp
+++ b/test/support/ServiceModel.hpp
@@ -368,9 +368,9 @@
     }
 
     /// \brief What is declared, with the members that a node knows
-    [[nodiscard]] deployment::Declared declaredTo(const Node& node) const
+    [[nodiscard]] deployment::DeclaredState declaredTo(const Node& node) const
     {
-        deployment::Declared declared = m_declared;
+        deployment::DeclaredState declared = m_declared;
         for (std::uint32_t member = 0; member < m_settings.nodes; ++member)
         {
             core::Random drawn((std::uint64_t{member} << 32U) + node.index);
@@ -488,10 +488,10 @@
 
     void tellLimits(Node& node)
     {
-        std::vector<deployment::LimitNews> news = node.balancer->takeLimitNews();
+        std::vector<deployment::LimitReport> news = node.balancer->takeLimitNews();
         if (news.empty() || m_settings.newsWay.count() == 0)
             return;
-        for (const deployment::LimitNews& one : news)
+        for (const deployment::LimitReport& one : news)
             m_limitWords[one.server] = {one.perSecond, m_now - one.ago, one.doublings};
         for (Node& other : m_nodes)
         {
@@ -510,7 +510,7 @@
     /// \brief Let a new life hear, with its first copy, what is known of limited servers
     void hearOfLimits(Node& node)
     {
-        std::vector<deployment::LimitNews> news;
+        std::vector<deployment::LimitReport> news;
         for (const auto& [server, word] : m_limitWords)
             news.push_back({0, server, word.perSecond, m_now - word.at, 0, word.doublings});
         node.balancer->heardLimits(news, m_now);
@@ -519,10 +519,10 @@
     void tellNews(Node& node)
     {
         tellLimits(node);
-        deployment::CrashNews news = node.balancer->takeCrashNews();
+        deployment::CrashReport news = node.balancer->takeCrashNews();
         if (news.empty() || m_settings.newsWay.count() == 0)
             return;
-        for (deployment::ServerEnd& end : news.ends)
+        for (deployment::ServerCrash& end : news.ends)
             end.node = memberHash(node.index);
         for (Node& other : m_nodes)
         {
@@ -965,7 +965,7 @@
     std::vector<KindOfRequest>                     m_kinds;
     core::Random                                   m_random;
     core::Timestamp                                m_now{std::chrono::hours{1}};
-    deployment::Declared                           m_declared;
+    deployment::DeclaredState                      m_declared;
     std::map<std::string, std::unique_ptr<Server>> m_servers;
     std::deque<Node>                               m_nodes;
     std::priority_queue<Event>                     m_events;
