--- a/include/sailpath/deployment/Deployment.hpp
+++ b/include/sailpath/deployment/Deployment.hpp
@@ -47,7 +47,7 @@
     std::string    name;           //!< Unique in the deployment
     std::string    healthPath;     //!< Path that health probes request
     unsigned       connections{0}; //!< Most connections to an instance from all callers; 0 when not declared
-    core::Duration warmUp{};       //!< Time that an instance stays cold from when it became so
+    core::Duration warmUp{};       //!< Time that an instance stays cold after becoming cold
     double warmUpRate{0}; //!< Most requests per second to a cold instance from all nodes together; 0 for no limit
 
     friend bool operator==(const ServiceRule&, const ServiceRule&) = default;
@@ -90,7 +90,7 @@
     std::vector<ServiceRule> services;        //!< Services in the order of declaration
     std::vector<Workspace>   workspaces;      //!< When empty, requests need no key
     CallerLimits             limits;          //!< Limits for callers
-    std::vector<std::string> unknownKeywords; //!< Unknown values, as `PLACE=WORD`; read in the safest way
+    std::vector<std::string> unknownKeywords; //!< Unknown values, as `PLACE=WORD`; read as the safest value
 
     friend bool operator==(const Deployment&, const Deployment&) = default;
 };
--- a/include/sailpath/deployment/InstanceRegistry.hpp
+++ b/include/sailpath/deployment/InstanceRegistry.hpp
@@ -70,7 +70,7 @@
     ////////////////////////////////////////////////////////////
     bool applyAnnouncement(const Announcement& announcement);
 
-    void applyUnreadableEntry(std::string_view id, core::Timestamp now); //!< Drop the instance
+    void applyUnreadableEntry(std::string_view id, core::Timestamp now); //!< Drop an instance
     void applyRemoval(std::string_view id, core::Timestamp earliest); //!< An entry was removed at `earliest` or later
     void expire(bool storeIll, core::Timestamp now);                  //!< Drop instances whose retention has ended
 
@@ -115,7 +115,7 @@
     std::map<std::string, Count>              m_counts;   //!< Counts by service
     std::set<std::string>                     m_retained; //!< Ids of retained instances, whose entries were removed
     std::set<std::pair<core::Timestamp, std::string>> m_tombstones; //!< Expiry times and ids of tombstones
-    std::map<std::string, std::optional<Instance>>    m_changes;    //!< By id, as last taken; null: not usable then
+    std::map<std::string, std::optional<Instance>>    m_changes;    //!< Former state by id; null: was not usable
     mutable std::uint64_t                             m_entriesExamined{0}; //!< Entries examined so far
     std::optional<core::Timestamp>                    m_reannounceUntil; //!< End of `reannounceWindow` after an outage
 };
--- a/include/sailpath/deployment/LimitReport.hpp
+++ b/include/sailpath/deployment/LimitReport.hpp
@@ -7,7 +7,7 @@
 namespace sailpath::deployment
 {
 ////////////////////////////////////////////////////////////
-/// \brief A node's report of an instance's request limit and of the requests it sent there since its last report
+/// \brief A node's report of an instance's request limit and of the node's sends to the instance since its last report
 ///
 /// Also reports a workspace: its quota, and the requests the node sent for it.
 ////////////////////////////////////////////////////////////
@@ -17,7 +17,7 @@
     std::uint32_t  server{0};    //!< `instanceHash` of the instance, or `shortHash` of the workspace
     double         perSecond{0}; //!< Limit for all nodes together, requests per second; infinite for no limit
     core::Duration ago{};        //!< Time from the instance's statement of the limit to this report
-    double         sent{0};      //!< Requests sent since the last report, plus what still counts of earlier ones
+    double         sent{0};      //!< Requests sent since the last report, plus earlier ones that still count
     double         doublings{0}; //!< Binary logarithm of the chance that the node's request is admitted to the instance
 };
 
--- a/include/sailpath/fleet/FleetThread.hpp
+++ b/include/sailpath/fleet/FleetThread.hpp
@@ -96,7 +96,7 @@
     void onCrashes(CrashHandler handler);                            //!< Other nodes' reports; see `onFailures`
     void reportLimits(std::vector<deployment::LimitReport> reports); //!< Limits and sends of this node; from any thread
     void onLimits(LimitHandler handler);                             //!< Other nodes' reports; see `onFailures`
-    void reportQuarantine(const deployment::Quarantine& quarantine); //!< Concluded by this node; from any thread
+    void reportQuarantine(const deployment::Quarantine& quarantine); //!< A conclusion of this node; from any thread
 
     ////////////////////////////////////////////////////////////
     /// \brief Get the last time at which the copy matched the store; null before the first; from any thread
--- a/include/sailpath/fleet/QuarantineKeeper.hpp
+++ b/include/sailpath/fleet/QuarantineKeeper.hpp
@@ -39,11 +39,10 @@
 public:
     QuarantineKeeper(std::string node, std::uint64_t seed);
 
-    [[nodiscard]] static bool
-    isQuarantineKey(std::string_view key); //!< Tell whether an entry's key is that of a quarantine
+    [[nodiscard]] static bool isQuarantineKey(std::string_view key);
 
     void addConclusion(const deployment::Quarantine& quarantine,
-                       const Moment&                 at); //!< Concluded by this node; withdrawn if it has ended
+                       const Moment&                 at); //!< Add a conclusion of this node; an ended one is withdrawn
 
     ////////////////////////////////////////////////////////////
     /// \brief Apply a written or removed entry of the store
--- a/src/sailpath/fleet/FleetThread.cpp
+++ b/src/sailpath/fleet/FleetThread.cpp
@@ -525,7 +525,7 @@
     core::Timestamp                               timerDue{};
     bool                                          timerArmed{false};
     bool                                          storeLost{false};
-    bool               publishedOnce{false}; // All instances were published once; since then only changes are
+    bool               publishedOnce{false}; // A complete state was published; later ones hold changes only
     unsigned           publishedNodes{0};
     core::Timestamp    nextNodeCountAt{}; // Earliest time to publish a change of the number of nodes alone
     mutable std::mutex mutex;
