--- a/src/sailpath/fleet/FleetThread.cpp
+++ b/src/sailpath/fleet/FleetThread.cpp
@@ -40,12 +40,12 @@
 ////////////////////////////////////////////////////////////
 struct FleetThread::Impl
 {
-    Impl(FleetSettings given, const MakeSource& makeSource, const Translator& reads, PublishHandler publishHandler,
-         ports::EventLog& events) :
-    settings(std::move(given)),
-    translator(reads),
+    Impl(FleetSettings fleetSettings, const MakeSource& makeSource, const Translator& entryTranslator,
+         PublishHandler publishHandler, ports::EventLog& eventLog) :
+    settings(std::move(fleetSettings)),
+    translator(entryTranslator),
     onPublish(std::move(publishHandler)),
-    log(events),
+    log(eventLog),
     timer(context),
     source(makeSource(context)),
     replica(settings.replica, now()),
