--- a/include/sailpath/balance/Balancer.hpp
+++ b/include/sailpath/balance/Balancer.hpp
@@ -7,10 +7,10 @@
 #include <sailpath/balance/Step.hpp>
 #include <sailpath/balance/WorkspaceQuotas.hpp>
 #include <sailpath/core/Random.hpp>
-#include <sailpath/deployment/CrashNews.hpp>
-#include <sailpath/deployment/Declared.hpp>
+#include <sailpath/deployment/CrashReport.hpp>
+#include <sailpath/deployment/DeclaredState.hpp>
 #include <sailpath/deployment/KeyTable.hpp>
-#include <sailpath/deployment/LimitNews.hpp>
+#include <sailpath/deployment/LimitReport.hpp>
 #include <sailpath/deployment/RouteTable.hpp>
 
 #include <deque>
@@ -106,7 +106,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Apply the declared configuration
     ////////////////////////////////////////////////////////////
-    void configure(const deployment::Declared& declared, core::Timestamp now);
+    void configure(const deployment::DeclaredState& declared, core::Timestamp now);
 
     ////////////////////////////////////////////////////////////
     /// \brief Set when the configuration in force was last confirmed to be the operators' current one; null for never
@@ -173,9 +173,9 @@
     ////////////////////////////////////////////////////////////
     /// \brief Process other nodes' reports on request limits and on the requests that they sent
     ////////////////////////////////////////////////////////////
-    void receiveLimitNews(std::span<const deployment::LimitNews> news, core::Timestamp now);
+    void receiveLimitNews(std::span<const deployment::LimitReport> news, core::Timestamp now);
 
-    [[nodiscard]] std::vector<deployment::LimitNews> takeLimitNews(); //!< For the other nodes, since the last call
+    [[nodiscard]] std::vector<deployment::LimitReport> takeLimitNews(); //!< For the other nodes, since the last call
 
     [[nodiscard]] std::vector<QuotaState>   quotas(core::Timestamp now) const; //!< State of all workspace quotas
     [[nodiscard]] std::optional<QuotaState> quota(std::string_view workspace,
@@ -196,10 +196,10 @@
     ////////////////////////////////////////////////////////////
     /// \brief Process other nodes' reports on servers that crashed, and on requests that were served after all
     ////////////////////////////////////////////////////////////
-    void receiveCrashNews(const deployment::CrashNews& news, core::Timestamp now);
+    void receiveCrashNews(const deployment::CrashReport& news, core::Timestamp now);
 
     [[nodiscard]] bool                  needsRequestIdentity() const; //!< Whether arrivals and outcomes need `identity`
-    [[nodiscard]] deployment::CrashNews takeCrashNews();              //!< For the other nodes, since the last call
+    [[nodiscard]] deployment::CrashReport takeCrashNews();              //!< For the other nodes, since the last call
     [[nodiscard]] const CrashLedger&    crashes() const; //!< Record of requests during which servers crashed
 
     [[nodiscard]] std::vector<deployment::Quarantine> takeNewQuarantines(); //!< New or widened since the last call
@@ -297,9 +297,9 @@
     };
 
     /// \brief Replace the instances of all services; return whether a service is new
-    [[nodiscard]] bool                  applyAll(const deployment::Declared& declared, core::Timestamp now);
+    [[nodiscard]] bool                  applyAll(const deployment::DeclaredState& declared, core::Timestamp now);
     /// \brief Apply the changed and removed instances only; return whether a service is new
-    [[nodiscard]] bool                  applyChanges(const deployment::Declared& declared, core::Timestamp now);
+    [[nodiscard]] bool                  applyChanges(const deployment::DeclaredState& declared, core::Timestamp now);
     const std::shared_ptr<ServicePool>& poolOf(const std::string& service, bool& added);
     void                                seedWorkEstimates();
     /// \brief A request that arrived before the first configuration
@@ -396,11 +396,11 @@
     std::vector<WarmUpChange>                                m_warmUpChanges;   //!< For `takeWarmUpChanges`
     std::vector<NoticeChange>                                m_noticeChanges;   //!< For `takeNoticeChanges`
     std::vector<LimitChange>                                 m_limitChanges;    //!< For `takeLimitChanges`
-    std::vector<deployment::LimitNews>                       m_limitNews; //!< For `takeLimitNews`, one per instance
+    std::vector<deployment::LimitReport>                       m_limitNews; //!< For `takeLimitNews`, one per instance
     std::vector<Step>                                        m_steps;     //!< For `takeSteps`
     CrashLedger                                              m_crashes;   //!< Requests during which servers crashed
     std::map<std::string, std::vector<LostRequest>> m_pendingChecks; //!< Lost requests awaiting a check, by instance
-    deployment::CrashNews                           m_crashNews;     //!< For `takeCrashNews`
+    deployment::CrashReport                           m_crashNews;     //!< For `takeCrashNews`
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/CrashLedger.hpp
+++ b/include/sailpath/balance/CrashLedger.hpp
@@ -2,7 +2,7 @@
 
 #include <sailpath/core/Time.hpp>
 #include <sailpath/deployment/Quarantine.hpp>
-#include <sailpath/deployment/ServerEnd.hpp>
+#include <sailpath/deployment/ServerCrash.hpp>
 
 #include <cstdint>
 #include <map>
@@ -39,7 +39,7 @@
 class CrashLedger
 {
 public:
-    void recordEnd(const deployment::ServerEnd& end,
+    void recordEnd(const deployment::ServerCrash& end,
                    core::Timestamp              now);                           //!< Record that a server ended under a request
     void recordServed(const core::ContentHash& content);           //!< Clear a request that was answered below 500
     void recordContact(std::uint32_t server, core::Timestamp now); //!< Record that an instance sent any answer
@@ -86,7 +86,7 @@
         core::Timestamp            lastEndAt{}; //!< When the last end was recorded
     };
 
-    [[nodiscard]] static bool wasSentAfter(const EvidenceItem& last, const deployment::ServerEnd& end,
+    [[nodiscard]] static bool wasSentAfter(const EvidenceItem& last, const deployment::ServerCrash& end,
                                            core::Timestamp now);
     [[nodiscard]] bool        isExplained(std::uint32_t server, const core::ContentHash& content) const;
     [[nodiscard]] bool        sharesServers(const core::ContentHash& content, const Evidence& evidence) const;
--- a/include/sailpath/gateway/Gateway.hpp
+++ b/include/sailpath/gateway/Gateway.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include <sailpath/balance/Balancer.hpp>
-#include <sailpath/deployment/Declared.hpp>
+#include <sailpath/deployment/DeclaredState.hpp>
 #include <sailpath/gateway/Dialect.hpp>
 #include <sailpath/gateway/GatewaySettings.hpp>
 #include <sailpath/gateway/Metrics.hpp>
@@ -42,7 +42,7 @@
     Gateway(const Gateway&) = delete;
     Gateway& operator=(const Gateway&) = delete;
 
-    void configure(const deployment::Declared& declared); //!< Apply a new configuration and list of servers
+    void configure(const deployment::DeclaredState& declared); //!< Apply a new configuration and list of servers
 
     ////////////////////////////////////////////////////////////
     /// \brief Set the source of the time at which the configuration in force was last confirmed
@@ -76,19 +76,19 @@
     /// \param newsHandler       Called on the loop's thread with the news for other nodes
     /// \param quarantineHandler Called on the loop's thread with each new, widened or withdrawn quarantine
     ////////////////////////////////////////////////////////////
-    void onServerCrashes(std::function<void(deployment::CrashNews)>  newsHandler,
+    void onServerCrashes(std::function<void(deployment::CrashReport)>  newsHandler,
                          std::function<void(deployment::Quarantine)> quarantineHandler);
 
-    void receiveServerCrashes(const deployment::CrashNews& news); //!< Process crashes seen by other nodes
+    void receiveServerCrashes(const deployment::CrashReport& news); //!< Process crashes seen by other nodes
 
     ////////////////////////////////////////////////////////////
     /// \brief Set the callback for limits that servers announced to this node, and the requests sent to such servers
     ///
     /// \param handler Called on the loop's thread
     ////////////////////////////////////////////////////////////
-    void onServerLimits(std::function<void(std::vector<deployment::LimitNews>)> handler);
+    void onServerLimits(std::function<void(std::vector<deployment::LimitReport>)> handler);
 
-    void receiveServerLimits(std::span<const deployment::LimitNews> news); //!< Process limits seen by other nodes
+    void receiveServerLimits(std::span<const deployment::LimitReport> news); //!< Process limits seen by other nodes
 
     void setAdditionalMetrics(std::function<std::string()> generator); //!< Set text appended to /metrics
 
--- a/src/sailpath/balance/Balancer.cpp
+++ b/src/sailpath/balance/Balancer.cpp
@@ -76,7 +76,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::configure(const deployment::Declared& declared, core::Timestamp now)
+void Balancer::configure(const deployment::DeclaredState& declared, core::Timestamp now)
 {
     m_nodes = std::max(1U, declared.nodes);
     m_crashes.applyStored(declared.quarantines, now);
@@ -106,7 +106,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Balancer::applyAll(const deployment::Declared& declared, core::Timestamp now)
+bool Balancer::applyAll(const deployment::DeclaredState& declared, core::Timestamp now)
 {
     std::unordered_map<std::string, std::vector<deployment::Instance>> byService;
     for (const deployment::Instance& instance : declared.instances)
@@ -123,7 +123,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Balancer::applyChanges(const deployment::Declared& declared, core::Timestamp now)
+bool Balancer::applyChanges(const deployment::DeclaredState& declared, core::Timestamp now)
 {
     bool       added = false;
     const auto remove = [&](const deployment::Instance& instance)
@@ -250,7 +250,7 @@
 {
     ServerView& server = *attempt.server;
     if (outcome.end == AttemptEnd::Answered || outcome.end == AttemptEnd::NotRun)
-        m_crashes.recordContact(deployment::lifeHash(*server.instance()), now);
+        m_crashes.recordContact(deployment::instanceHash(*server.instance()), now);
     if (outcome.end == AttemptEnd::Answered)
         server.recordAccepted(attempt.sentAt);
     learnLoad(*request.pool, server, outcome, now);
@@ -286,7 +286,7 @@
 void Balancer::recordFailure(ServicePool& pool, const ServerView& server, core::Timestamp now)
 {
     constexpr std::size_t maxPending = 256; // Reached only when `takeFailures` is not called
-    const std::uint32_t   hash = deployment::lifeHash(*server.instance());
+    const std::uint32_t   hash = deployment::instanceHash(*server.instance());
     recordFailureReport(pool, {0, hash}, now);
     if (m_failedInstances.size() < maxPending)
         m_failedInstances.push_back(hash);
@@ -519,7 +519,7 @@
         return;
     const auto server = pool->second->find(instance.id);
     // Connections to the process before the instance's last restart do not count.
-    if (!server || !deployment::sameLife(*server->instance(), instance))
+    if (!server || !deployment::sameInstance(*server->instance(), instance))
         return;
     server->setIdleConnections(idle);
     server->setOpenConnections(open);
--- a/src/sailpath/balance/BalancerCrashes.cpp
+++ b/src/sailpath/balance/BalancerCrashes.cpp
@@ -46,8 +46,8 @@
         return;
     for (const LostRequest& one : lost)
     {
-        deployment::ServerEnd end;
-        end.server = deployment::lifeHash(instance);
+        deployment::ServerCrash end;
+        end.server = deployment::instanceHash(instance);
         end.request = one.identity;
         end.ran = one.lostAt - one.sentAt;
         end.ago = now - one.lostAt;
@@ -58,9 +58,9 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Balancer::receiveCrashNews(const deployment::CrashNews& news, core::Timestamp now)
+void Balancer::receiveCrashNews(const deployment::CrashReport& news, core::Timestamp now)
 {
-    for (const deployment::ServerEnd& end : news.ends)
+    for (const deployment::ServerCrash& end : news.ends)
         m_crashes.recordEnd(end, now);
     for (const core::ContentHash& content : news.served)
         m_crashes.recordServed(content);
@@ -128,7 +128,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-deployment::CrashNews Balancer::takeCrashNews()
+deployment::CrashReport Balancer::takeCrashNews()
 {
     return std::exchange(m_crashNews, {});
 }
--- a/src/sailpath/balance/CrashLedger.cpp
+++ b/src/sailpath/balance/CrashLedger.cpp
@@ -28,7 +28,7 @@
 } // namespace
 
 ////////////////////////////////////////////////////////////
-bool CrashLedger::wasSentAfter(const EvidenceItem& last, const deployment::ServerEnd& end, core::Timestamp now)
+bool CrashLedger::wasSentAfter(const EvidenceItem& last, const deployment::ServerCrash& end, core::Timestamp now)
 {
     const core::Timestamp sentAt = now - end.ago - end.ran;
     if (end.request.caller != last.caller)
@@ -39,7 +39,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void CrashLedger::recordEnd(const deployment::ServerEnd& end, core::Timestamp now)
+void CrashLedger::recordEnd(const deployment::ServerCrash& end, core::Timestamp now)
 {
     const core::ContentHash& content = end.request.content;
     std::erase_if(m_reportedAt, [now](const auto& item) { return now - item.second > contradictionUntil; });
--- a/src/sailpath/balance/ServicePool.cpp
+++ b/src/sailpath/balance/ServicePool.cpp
@@ -100,7 +100,7 @@
 {
     const auto known = m_byId.find(instance.id);
     // A restarted server is a new instance; the state of its previous life does not apply.
-    if (known != m_byId.end() && deployment::sameLife(*known->second->instance(), instance))
+    if (known != m_byId.end() && deployment::sameInstance(*known->second->instance(), instance))
     {
         if (*known->second->instance() != instance)
             known->second->update(std::move(instance), now);
@@ -114,14 +114,14 @@
                                              [&](const auto& known) { return known->instance()->id == id; });
     if (removed != m_removedServers.end())
     {
-        if (deployment::sameLife(*(*removed)->instance(), *server->instance()))
+        if (deployment::sameInstance(*(*removed)->instance(), *server->instance()))
             server->restoreNotices((*removed)->notices());
         m_removedServers.erase(removed);
     }
     if (isJoining)
         server->markJoined();
     m_byId.emplace(id, server);
-    m_byHash[deployment::lifeHash(*server->instance())] = server;
+    m_byHash[deployment::instanceHash(*server->instance())] = server;
     if (evacuated.contains(server->instance()->dataCentre))
     {
         server->evacuate();
@@ -142,7 +142,7 @@
         return;
     known->second->retire();
     retainNotices(known->second);
-    const auto hash = m_byHash.find(deployment::lifeHash(*known->second->instance()));
+    const auto hash = m_byHash.find(deployment::instanceHash(*known->second->instance()));
     if (hash != m_byHash.end() && hash->second == known->second)
         m_byHash.erase(hash);
     if (known->second->evacuated())
@@ -232,7 +232,7 @@
                                       core::Timestamp now)
 {
     const auto sameLife = [&](const std::shared_ptr<ServerView>& server)
-    { return deployment::sameLife(*server->instance(), instance); };
+    { return deployment::sameInstance(*server->instance(), instance); };
     if (const auto server = find(instance.id))
         return sameLife(server) ? server->applyNotice(notice, spread, now) : ServerNotice{};
     // The entry may be missing only temporarily; answers still in transit carry notices for it.
--- a/src/sailpath/balance/ServicePoolPlacement.cpp
+++ b/src/sailpath/balance/ServicePoolPlacement.cpp
@@ -186,7 +186,7 @@
     // A single node does not send a limited server more than it takes, but the sum over all nodes would overload it.
     const SharedLimit* limit = m_mayBeLimited ? server.limit(now) : nullptr;
     return limit == nullptr ||
-           limit->admits(uniformDraw(criteria.draw, deployment::lifeHash(*server.instance())), criteria.rank, now);
+           limit->admits(uniformDraw(criteria.draw, deployment::instanceHash(*server.instance())), criteria.rank, now);
 }
 
 ////////////////////////////////////////////////////////////
--- a/src/sailpath/balance/WorkspaceQuotas.cpp
+++ b/src/sailpath/balance/WorkspaceQuotas.cpp
@@ -155,7 +155,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool WorkspaceQuotas::recordSentElsewhere(const deployment::LimitNews& news, core::Timestamp now)
+bool WorkspaceQuotas::recordSentElsewhere(const deployment::LimitReport& news, core::Timestamp now)
 {
     const auto found = m_quotas.find(news.server);
     if (found == m_quotas.end())
@@ -172,7 +172,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void WorkspaceQuotas::takeNews(std::vector<deployment::LimitNews>& to)
+void WorkspaceQuotas::takeNews(std::vector<deployment::LimitReport>& to)
 {
     to.insert(to.end(), m_news.begin(), m_news.end());
     m_news.clear();
--- a/src/sailpath/gateway/Gateway.cpp
+++ b/src/sailpath/gateway/Gateway.cpp
@@ -292,7 +292,7 @@
 Gateway::~Gateway() = default;
 
 ////////////////////////////////////////////////////////////
-void Gateway::configure(const deployment::Declared& declared)
+void Gateway::configure(const deployment::DeclaredState& declared)
 {
     // Requests held back until the first configuration are decided here.
     if (m_impl->confirmedAtSource)
@@ -339,7 +339,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::onServerCrashes(std::function<void(deployment::CrashNews)>  newsHandler,
+void Gateway::onServerCrashes(std::function<void(deployment::CrashReport)>  newsHandler,
                               std::function<void(deployment::Quarantine)> quarantineHandler)
 {
     m_impl->crashesHandler = std::move(newsHandler);
@@ -347,20 +347,20 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::receiveServerCrashes(const deployment::CrashNews& news)
+void Gateway::receiveServerCrashes(const deployment::CrashReport& news)
 {
     m_impl->balancer.receiveCrashNews(news, core::now());
     m_impl->logBalancerChanges();
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::onServerLimits(std::function<void(std::vector<deployment::LimitNews>)> handler)
+void Gateway::onServerLimits(std::function<void(std::vector<deployment::LimitReport>)> handler)
 {
     m_impl->limitsHandler = std::move(handler);
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::receiveServerLimits(std::span<const deployment::LimitNews> news)
+void Gateway::receiveServerLimits(std::span<const deployment::LimitReport> news)
 {
     m_impl->balancer.receiveLimitNews(news, core::now());
     m_impl->logBalancerChanges();
--- a/src/sailpath/gateway/GatewayImpl.hpp
+++ b/src/sailpath/gateway/GatewayImpl.hpp
@@ -105,9 +105,9 @@
     std::function<std::optional<core::Timestamp>()>         confirmedAtSource;
     std::function<std::optional<core::Timestamp>()>         fleetContactSource;
     std::function<void(std::vector<std::uint32_t>)>         failuresHandler;
-    std::function<void(deployment::CrashNews)>              crashesHandler;
+    std::function<void(deployment::CrashReport)>              crashesHandler;
     std::function<void(deployment::Quarantine)>             quarantineHandler;
-    std::function<void(std::vector<deployment::LimitNews>)> limitsHandler;
+    std::function<void(std::vector<deployment::LimitReport>)> limitsHandler;
     priv::StatusServer                                      readinessServer;
     std::optional<priv::StatusServer>                       metricsServer;
 };
--- a/src/sailpath/gateway/ServerConnections.cpp
+++ b/src/sailpath/gateway/ServerConnections.cpp
@@ -28,7 +28,7 @@
                                          ? std::min(m_settings.maxIdleBeforeNonRepeatable, idleLimit(*connection))
                                          : idleLimit(*connection);
         const bool           usable = connection->idle() && connection->idleTime() < limit &&
-                            deployment::sameLife(connection->instance(), *instance);
+                            deployment::sameInstance(connection->instance(), *instance);
         if (usable && (!best || connection->idleTime() < best->idleTime()))
             best = connection;
     }
--- a/test/balance/Balancer.test.cpp
+++ b/test/balance/Balancer.test.cpp
@@ -159,7 +159,7 @@
 
     core::Timestamp      now{1h};
     Balancer             balancer{settingsOf(), now};
-    deployment::Declared declared;
+    deployment::DeclaredState declared;
 };
 
 ////////////////////////////////////////////////////////////
@@ -881,7 +881,7 @@
 BOOST_AUTO_TEST_CASE(NoRequestIsDeniedBeforeAConfigurationIsKnown)
 {
     Balancer             early(settingsOf(), now);
-    deployment::Declared known = declared;
+    deployment::DeclaredState known = declared;
     known.deployment = nullptr;
     std::vector<Step> taken;
     early.configure(known, now);
--- a/test/balance/Changes.test.cpp
+++ b/test/balance/Changes.test.cpp
@@ -29,7 +29,7 @@
     void change(std::vector<deployment::Instance> present, std::vector<deployment::Instance> gone,
                 std::set<std::string> evacuated = {})
     {
-        deployment::Declared changes = declared;
+        deployment::DeclaredState changes = declared;
         changes.whole = false;
         changes.instances = std::move(present);
         changes.gone = std::move(gone);
--- a/test/balance/Evacuation.test.cpp
+++ b/test/balance/Evacuation.test.cpp
@@ -147,7 +147,7 @@
         return sent;
     }
 
-    deployment::Declared declared;
+    deployment::DeclaredState declared;
     core::Timestamp      now{1h};
     Ticket               ticket{0};
     std::vector<Step>    asked;
--- a/test/balance/crashes/Innocent.test.cpp
+++ b/test/balance/crashes/Innocent.test.cpp
@@ -19,7 +19,7 @@
 using namespace std::chrono_literals;
 using balance::CrashLedger;
 using deployment::RequestIdentity;
-using deployment::ServerEnd;
+using deployment::ServerCrash;
 
 constexpr core::Timestamp start{1h};
 
@@ -37,7 +37,7 @@
 {
     core::Timestamp endedAt;
     core::Timestamp arrivedAt;
-    ServerEnd       end;
+    ServerCrash       end;
 };
 
 ////////////////////////////////////////////////////////////
@@ -84,7 +84,7 @@
         const auto   reports = drawReports(random);
         for (const Report& report : reports)
         {
-            ServerEnd end = report.end;
+            ServerCrash end = report.end;
             end.ago = report.arrivedAt - report.endedAt;
             ledger.recordEnd(end, report.arrivedAt);
         }
--- a/test/balance/crashes/Quarantined.test.cpp
+++ b/test/balance/crashes/Quarantined.test.cpp
@@ -125,7 +125,7 @@
     balancer.configure(declared, now);
     now += 20s;
     const auto                  culprit = requestOf("culprit");
-    const deployment::CrashNews news{{{5, 71, culprit, 80ms, 1ms}}, {}};
+    const deployment::CrashReport news{{{5, 71, culprit, 80ms, 1ms}}, {}};
     balancer.receiveCrashNews(news, now);
     now += 1s;
     balancer.receiveCrashNews({{{6, 72, culprit, 80ms, 1ms}}, {}}, now);
--- a/test/support/OneRouteFixture.hpp
+++ b/test/support/OneRouteFixture.hpp
@@ -66,7 +66,7 @@
 
     core::Timestamp      now{std::chrono::hours{1}};
     balance::Balancer    balancer{settingsOf(), now};
-    deployment::Declared declared;
+    deployment::DeclaredState declared;
 };
 
 } // namespace sailpath::support
--- a/test/support/QuotaFleet.hpp
+++ b/test/support/QuotaFleet.hpp
@@ -11,7 +11,7 @@
 {
 using namespace std::chrono_literals;
 using balance::WorkspaceQuotas;
-using deployment::LimitNews;
+using deployment::LimitReport;
 
 inline constexpr core::Timestamp start{1h};
 inline constexpr auto            tick = 5ms;
@@ -137,7 +137,7 @@
     {
         core::Timestamp at;
         unsigned        from;
-        LimitNews       report;
+        LimitReport       report;
     };
 
     void sendRequest()
@@ -154,10 +154,10 @@
     {
         for (unsigned i = 0; i < m_nodes.size(); ++i)
         {
-            std::vector<LimitNews> taken;
+            std::vector<LimitReport> taken;
             m_nodes[i]->takeNews(taken);
             reports += taken.size();
-            for (const LimitNews& report : taken)
+            for (const LimitReport& report : taken)
                 m_pending.push_back({m_now + m_load.reportDelay, i, report});
         }
     }
--- a/test/support/ServiceModel.hpp
+++ b/test/support/ServiceModel.hpp
@@ -370,9 +370,9 @@
     }
 
     /// \brief Return the declared configuration, with the members that a node knows
-    [[nodiscard]] deployment::Declared declaredFor(const Node& node) const
+    [[nodiscard]] deployment::DeclaredState declaredFor(const Node& node) const
     {
-        deployment::Declared declared = m_declared;
+        deployment::DeclaredState declared = m_declared;
         for (std::uint32_t member = 0; member < m_settings.nodes; ++member)
         {
             core::Random drawn((std::uint64_t{member} << 32U) + node.index);
@@ -493,10 +493,10 @@
 
     void sendLimitReports(Node& node)
     {
-        std::vector<deployment::LimitNews> news = node.balancer->takeLimitNews();
+        std::vector<deployment::LimitReport> news = node.balancer->takeLimitNews();
         if (news.empty() || m_settings.reportDelay.count() == 0)
             return;
-        for (const deployment::LimitNews& one : news)
+        for (const deployment::LimitReport& one : news)
             m_limitReports[one.server] = {one.perSecond, m_now - one.ago, one.doublings};
         for (Node& other : m_nodes)
         {
@@ -515,7 +515,7 @@
     /// \brief Pass a restarted node the limits that relays hold, as it gets them with its first copy
     void receiveLimitReports(Node& node)
     {
-        std::vector<deployment::LimitNews> news;
+        std::vector<deployment::LimitReport> news;
         for (const auto& [server, report] : m_limitReports)
             news.push_back({0, server, report.perSecond, m_now - report.at, 0, report.doublings});
         node.balancer->receiveLimitNews(news, m_now);
@@ -524,10 +524,10 @@
     void sendReports(Node& node)
     {
         sendLimitReports(node);
-        deployment::CrashNews news = node.balancer->takeCrashNews();
+        deployment::CrashReport news = node.balancer->takeCrashNews();
         if (news.empty() || m_settings.reportDelay.count() == 0)
             return;
-        for (deployment::ServerEnd& end : news.ends)
+        for (deployment::ServerCrash& end : news.ends)
             end.node = memberHash(node.index);
         for (Node& other : m_nodes)
         {
@@ -972,7 +972,7 @@
     std::vector<KindOfRequest>                     m_kinds;
     core::Random                                   m_random;
     core::Timestamp                                m_now{std::chrono::hours{1}};
-    deployment::Declared                           m_declared;
+    deployment::DeclaredState                           m_declared;
     std::map<std::string, std::unique_ptr<Server>> m_servers;
     std::deque<Node>                               m_nodes;
     std::priority_queue<Event>                     m_events;
