--- a/include/sailpath/config/BackendServer.hpp
+++ b/include/sailpath/config/BackendServer.hpp
@@ -6,16 +6,16 @@
 namespace sailpath::config
 {
 ////////////////////////////////////////////////////////////
-/// \brief A backend server as its workspace's operators declare it
+/// \brief A backend server, as declared by the operators of its workspace
 ////////////////////////////////////////////////////////////
 struct BackendServer
 {
     std::string   name;             //!< Unique within its service
-    std::string   address;          //!< IP number
+    std::string   address;          //!< IPv4 or IPv6 address
     std::uint16_t port{};           //!< TCP port
-    std::string   dataCentre;       //!< Data centre where it runs
-    unsigned      slots{3};         //!< Requests it works on at once
-    unsigned      connections{200}; //!< Connections it accepts in all
+    std::string   dataCentre;       //!< Data centre where the server runs
+    unsigned      slots{3};         //!< Requests the server processes concurrently
+    unsigned      connections{200}; //!< Total connections that the server accepts
 
     friend bool operator==(const BackendServer&, const BackendServer&) = default;
 };
--- a/include/sailpath/config/Host.hpp
+++ b/include/sailpath/config/Host.hpp
@@ -6,21 +6,21 @@
 namespace sailpath::config
 {
 ////////////////////////////////////////////////////////////
-/// \brief The service that a Host header names
+/// \brief Service and workspace named by a Host header
 ////////////////////////////////////////////////////////////
 struct HostName
 {
-    std::string_view service;   //!< First label
-    std::string_view workspace; //!< Second label
+    std::string_view service;   //!< Name of the service: first label of the host
+    std::string_view workspace; //!< Name of the workspace: second label of the host
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Take a Host header apart: `SERVICE.WORKSPACE[.suffix][:port]`
+/// \brief Parse a Host header of the form `SERVICE.WORKSPACE[.suffix][:port]`
 ///
-/// The workspace is part of the name, so no workspace can claim a host of
-/// another.
+/// The workspace is part of the host name, so one workspace cannot claim a
+/// host of another.
 ///
-/// \return Nothing when there are fewer than two labels
+/// \return The two names; `std::nullopt` if `host` has fewer than two labels
 ////////////////////////////////////////////////////////////
 [[nodiscard]] std::optional<HostName> parseHost(std::string_view host);
 
--- a/include/sailpath/config/Route.hpp
+++ b/include/sailpath/config/Route.hpp
@@ -6,23 +6,23 @@
 namespace sailpath::config
 {
 ////////////////////////////////////////////////////////////
-/// \brief How urgently requests of a route are wanted
+/// \brief Scheduling priority of the requests of a route
 ////////////////////////////////////////////////////////////
 enum class Priority
 {
-    Interactive, //!< Somebody waits for the answer
-    Batch        //!< Takes what interactive requests leave
+    Interactive, //!< A user waits for the answer
+    Batch        //!< Uses the capacity that interactive requests leave free
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What operators declare about the requests of one path prefix
+/// \brief Rules that operators declare for the requests of one path prefix
 ////////////////////////////////////////////////////////////
 struct Route
 {
     std::string              path{"/"};                       //!< Path prefix; the longest match wins
-    std::vector<std::string> methods;                         //!< Methods it covers; empty means all
-    bool                     repeatable{false};               //!< Whether a request may run more than once
-    Priority                 priority{Priority::Interactive}; //!< Who goes first
+    std::vector<std::string> methods;                         //!< HTTP methods that the route matches; empty means all
+    bool                     repeatable{false};               //!< Whether a request may be executed more than once
+    Priority                 priority{Priority::Interactive}; //!< Scheduling priority
 
     friend bool operator==(const Route&, const Route&) = default;
 };
--- a/include/sailpath/config/Service.hpp
+++ b/include/sailpath/config/Service.hpp
@@ -11,50 +11,51 @@
 namespace sailpath::config
 {
 ////////////////////////////////////////////////////////////
-/// \brief When requests of a service are sent again
+/// \brief Limits on retries of a service's requests
 ////////////////////////////////////////////////////////////
 struct RetryRule
 {
-    unsigned attempts{2}; //!< Attempts in all, the first included
-    double   budget{0.1}; //!< Retries as a share of first attempts
+    unsigned attempts{2}; //!< Maximum attempts per request, including the first
+    double   budget{0.1}; //!< Retries allowed, as a fraction of first attempts
 
     friend bool operator==(const RetryRule&, const RetryRule&) = default;
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief How servers of a service are probed
+/// \brief How the servers of a service are probed for their load
 ////////////////////////////////////////////////////////////
 struct Probe
 {
-    std::string    path{"/load"};                      //!< What is asked for
-    core::Duration cost{std::chrono::milliseconds{6}}; //!< Time that one probe takes from the server
+    std::string    path{"/load"};                      //!< Path of the probe request
+    core::Duration cost{std::chrono::milliseconds{6}}; //!< Server time that one probe consumes
 
     friend bool operator==(const Probe&, const Probe&) = default;
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief A service: a pool of backend servers and the rules for its requests
+/// \brief A pool of backend servers and the rules for the requests to it
 ////////////////////////////////////////////////////////////
 struct Service
 {
     std::string                name;      //!< Unique within its workspace
-    std::vector<BackendServer> servers;   //!< The pool
-    std::vector<Route>         routes;    //!< Rules by path; none matching means not repeatable
-    RetryRule                  retry;     //!< When to send again
-    Probe                      probe;     //!< How to measure
-    unsigned                   queue{64}; //!< Requests that may wait on one VM
-    core::Duration             maxWait{std::chrono::milliseconds{250}}; //!< Longest wait for a server
-    core::Duration             deadline{std::chrono::seconds{10}}; //!< Time a request has when its caller sets none
-    core::Duration claimWindow{std::chrono::minutes{10}}; //!< How long copies of a keyed request are recognised
+    std::vector<BackendServer> servers;   //!< Backend servers of the pool
+    std::vector<Route>         routes;    //!< Rules by path; a request without a matching route is not repeatable
+    RetryRule                  retry;     //!< Limits on retries
+    Probe                      probe;     //!< How servers are probed
+    unsigned                   queue{64}; //!< Longest queue of waiting requests on each VM
+    core::Duration             maxWait{std::chrono::milliseconds{250}}; //!< Longest time a request waits for a server
+    core::Duration             deadline{std::chrono::seconds{10}}; //!< Time limit of a request whose caller sets none
+    core::Duration             claimWindow{
+        std::chrono::minutes{10}}; //!< How long duplicates of a request with an idempotency key are detected
 
     ////////////////////////////////////////////////////////////
-    /// \brief Find the route for a request
+    /// \brief Find the route that applies to a request
     ///
     /// \param method HTTP method
     /// \param path   Request path
     ///
-    /// \return Route with the longest matching prefix; one that forbids
-    ///         repeating when none matches
+    /// \return Route with the longest matching path prefix; a default route
+    ///         that is not repeatable if none matches
     ////////////////////////////////////////////////////////////
     [[nodiscard]] const Route& routeFor(std::string_view method, std::string_view path) const;
 
--- a/include/sailpath/config/Workspace.hpp
+++ b/include/sailpath/config/Workspace.hpp
@@ -8,13 +8,13 @@
 namespace sailpath::config
 {
 ////////////////////////////////////////////////////////////
-/// \brief All that one workspace's operators declare; changed as a whole
+/// \brief Complete declaration of one workspace; always replaced as a whole
 ////////////////////////////////////////////////////////////
 struct Workspace
 {
-    std::string          name;               //!< Unique; also the second label of its services' hosts
-    double               measuringBudget{0}; //!< Server-milliseconds a second for probes, over all VMs
-    std::vector<Service> services;           //!< Its services
+    std::string          name;               //!< Unique; second label of the host names of its services
+    double               measuringBudget{0}; //!< Limit on server time for probes, in ms per second over all VMs
+    std::vector<Service> services;           //!< Services of the workspace
 
     friend bool operator==(const Workspace&, const Workspace&) = default;
 };
--- a/include/sailpath/config/WorkspaceParser.hpp
+++ b/include/sailpath/config/WorkspaceParser.hpp
@@ -10,26 +10,26 @@
 namespace sailpath::config
 {
 ////////////////////////////////////////////////////////////
-/// \brief Outcome of reading a declaration
+/// \brief Result of parsing a workspace declaration
 ////////////////////////////////////////////////////////////
 struct ParsedWorkspace
 {
-    std::optional<Workspace> workspace; //!< Set when there are no findings
-    core::Findings           findings;  //!< Everything that is wrong, with its place
+    std::optional<Workspace> workspace; //!< Set if the declaration is valid, that is, has no findings
+    core::Findings           findings;  //!< All errors in the declaration, each with its JSON path
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Read one workspace's declaration
+/// \brief Parse and validate the declaration of one workspace
 ///
-/// \param text   JSON document; comments are allowed
-/// \param source Name to put before each finding's path, usually the file
+/// \param text   JSON document, which may contain comments
+/// \param source Prefix for the path of each finding, usually the file name
 ///
-/// \return The workspace, or every finding at once
+/// \return The workspace, or all findings
 ////////////////////////////////////////////////////////////
 [[nodiscard]] ParsedWorkspace parseWorkspace(std::string_view text, std::string_view source);
 
 ////////////////////////////////////////////////////////////
-/// \brief Write a declaration in its stored form: JSON without comments
+/// \brief Format a workspace in its stored form: JSON without comments
 ////////////////////////////////////////////////////////////
 [[nodiscard]] std::string formatWorkspace(const Workspace& workspace);
 
--- a/src/sailpath/config/DocumentReader.cpp
+++ b/src/sailpath/config/DocumentReader.cpp
@@ -8,17 +8,17 @@
 {
 namespace
 {
-constexpr std::size_t longestName = 63; // A DNS label
+constexpr std::size_t maxNameLength = 63; // Limit of a DNS label
 
 ////////////////////////////////////////////////////////////
-bool isName(std::string_view text)
+bool isValidName(std::string_view text)
 {
     const auto allowed = [](unsigned char c) { return std::islower(c) != 0 || std::isdigit(c) != 0 || c == '-'; };
-    return !text.empty() && text.size() <= longestName && std::all_of(text.begin(), text.end(), allowed);
+    return !text.empty() && text.size() <= maxNameLength && std::all_of(text.begin(), text.end(), allowed);
 }
 
 ////////////////////////////////////////////////////////////
-std::string shortNumber(double value)
+std::string formatNumber(double value)
 {
     return nlohmann::json(value == std::floor(value) ? nlohmann::json(static_cast<long long>(value))
                                                      : nlohmann::json(value))
@@ -55,12 +55,12 @@
     const nlohmann::json* value = find(member);
     if (!value)
     {
-        note(member, "missing; expected a name");
+        addFinding(member, "missing; expected a name");
         return {};
     }
-    if (!value->is_string() || !isName(value->get_ref<const std::string&>()))
+    if (!value->is_string() || !isValidName(value->get_ref<const std::string&>()))
     {
-        note(member, "expected a name of lower-case letters, digits and hyphens, at most 63");
+        addFinding(member, "expected a name of lower-case letters, digits and hyphens, at most 63");
         return {};
     }
     return value->get<std::string>();
@@ -74,7 +74,7 @@
         return fallback;
     if (value->is_string())
         return value->get<std::string>();
-    note(member, "expected a text");
+    addFinding(member, "expected a text");
     return fallback;
 }
 
@@ -84,18 +84,18 @@
     const nlohmann::json* value = find(member);
     if (!value)
         return fallback;
-    if (value->is_number() && value->get<double>() >= bounds.least && value->get<double>() <= bounds.most)
+    if (value->is_number() && value->get<double>() >= bounds.min && value->get<double>() <= bounds.max)
         return value->get<double>();
-    note(member, "expected a number from " + shortNumber(bounds.least) + " to " + shortNumber(bounds.most));
+    addFinding(member, "expected a number from " + formatNumber(bounds.min) + " to " + formatNumber(bounds.max));
     return fallback;
 }
 
 ////////////////////////////////////////////////////////////
-unsigned DocumentReader::whole(const char* member, unsigned fallback, Bounds bounds)
+unsigned DocumentReader::integer(const char* member, unsigned fallback, Bounds bounds)
 {
     const double value = number(member, fallback, bounds);
     if (value != std::floor(value))
-        note(member, "expected a whole number");
+        addFinding(member, "expected a whole number");
     return static_cast<unsigned>(value);
 }
 
@@ -107,7 +107,7 @@
         return fallback;
     if (value->is_boolean())
         return value->get<bool>();
-    note(member, "expected true or false");
+    addFinding(member, "expected true or false");
     return fallback;
 }
 
@@ -120,7 +120,7 @@
         return;
     if (!value->is_array())
     {
-        note(member, "expected a list");
+        addFinding(member, "expected a list");
         return;
     }
     std::size_t index = 0;
@@ -139,7 +139,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void DocumentReader::note(const char* member, std::string message)
+void DocumentReader::addFinding(const char* member, std::string message)
 {
     m_findings.add(m_place + "/" + member, std::move(message));
 }
--- a/src/sailpath/config/Service.cpp
+++ b/src/sailpath/config/Service.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 ////////////////////////////////////////////////////////////
-bool covers(const Route& route, std::string_view method, std::string_view path)
+bool matches(const Route& route, std::string_view method, std::string_view path)
 {
     if (!path.starts_with(route.path))
         return false;
@@ -21,16 +21,16 @@
 ////////////////////////////////////////////////////////////
 const Route& Service::routeFor(std::string_view method, std::string_view path) const
 {
-    // Without a rule the safe assumption holds: the request must not be repeated.
-    static const Route undeclared;
+    // A request without a declared route must not be executed twice: this is the safe default.
+    static const Route defaultRoute;
 
     const Route* best = nullptr;
     for (const Route& route : routes)
     {
-        if (covers(route, method, path) && (!best || route.path.size() > best->path.size()))
+        if (matches(route, method, path) && (!best || route.path.size() > best->path.size()))
             best = &route;
     }
-    return best ? *best : undeclared;
+    return best ? *best : defaultRoute;
 }
 
 } // namespace sailpath::config
--- a/src/sailpath/config/WorkspaceParser.cpp
+++ b/src/sailpath/config/WorkspaceParser.cpp
@@ -13,21 +13,21 @@
 using nlohmann::json;
 using priv::DocumentReader;
 
-constexpr double         mostServers = 1000;
-constexpr core::Duration leastClaimWindow = std::chrono::seconds{10};
-constexpr double         mostMilliseconds = 3'600'000;
+constexpr double         maxServers = 1000;
+constexpr core::Duration minClaimWindow = std::chrono::seconds{10};
+constexpr double         maxMilliseconds = 3'600'000;
 
 ////////////////////////////////////////////////////////////
-bool isIpNumber(const std::string& text)
+bool isIpAddress(const std::string& text)
 {
     in6_addr buffer{};
     return inet_pton(AF_INET, text.c_str(), &buffer) == 1 || inet_pton(AF_INET6, text.c_str(), &buffer) == 1;
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration milliseconds(DocumentReader& reader, const char* member, core::Duration fallback)
+core::Duration readMilliseconds(DocumentReader& reader, const char* member, core::Duration fallback)
 {
-    return core::fromMilliseconds(reader.number(member, core::toMilliseconds(fallback), {0, mostMilliseconds}));
+    return core::fromMilliseconds(reader.number(member, core::toMilliseconds(fallback), {0, maxMilliseconds}));
 }
 
 ////////////////////////////////////////////////////////////
@@ -39,14 +39,14 @@
     BackendServer server;
     server.name = reader.name("name");
     server.address = reader.text("address", "");
-    if (!isIpNumber(server.address))
-        reader.note("address", "expected an IP number");
-    server.port = static_cast<std::uint16_t>(reader.whole("port", 0, {1, 65535}));
+    if (!isIpAddress(server.address))
+        reader.addFinding("address", "expected an IP number");
+    server.port = static_cast<std::uint16_t>(reader.integer("port", 0, {1, 65535}));
     if (server.port == 0)
-        reader.note("port", "missing; expected a port from 1 to 65535");
+        reader.addFinding("port", "missing; expected a port from 1 to 65535");
     server.dataCentre = reader.name("dataCentre");
-    server.slots = reader.whole("slots", server.slots, {1, 10'000});
-    server.connections = reader.whole("connections", server.connections, {1, 100'000});
+    server.slots = reader.integer("slots", server.slots, {1, 10'000});
+    server.connections = reader.integer("connections", server.connections, {1, 100'000});
     return server;
 }
 
@@ -59,7 +59,7 @@
     Route route;
     route.path = reader.text("path", route.path);
     if (!route.path.starts_with('/'))
-        reader.note("path", "expected a path that begins with /");
+        reader.addFinding("path", "expected a path that begins with /");
     reader.each("methods",
                 [&](const json& method, const std::string& methodPlace)
                 {
@@ -71,14 +71,14 @@
     route.repeatable = reader.boolean("repeatable", route.repeatable);
     const std::string priority = reader.text("priority", "interactive");
     if (priority != "interactive" && priority != "batch")
-        reader.note("priority", "expected \"interactive\" or \"batch\"");
+        reader.addFinding("priority", "expected \"interactive\" or \"batch\"");
     route.priority = priority == "batch" ? Priority::Batch : Priority::Interactive;
     return route;
 }
 
 ////////////////////////////////////////////////////////////
 template <typename Named>
-void noteRepeatedNames(const std::vector<Named>& items, const std::string& place, core::Findings& findings)
+void reportDuplicateNames(const std::vector<Named>& items, const std::string& place, core::Findings& findings)
 {
     std::set<std::string> seen;
     for (std::size_t i = 0; i < items.size(); ++i)
@@ -105,7 +105,7 @@
                   [&](DocumentReader& retry)
                   {
                       retry.allowOnly({"attempts", "budget"});
-                      service.retry.attempts = retry.whole("attempts", service.retry.attempts, {1, 10});
+                      service.retry.attempts = retry.integer("attempts", service.retry.attempts, {1, 10});
                       service.retry.budget = retry.number("budget", service.retry.budget, {0, 1});
                   });
     reader.nested("probe",
@@ -113,18 +113,18 @@
                   {
                       probe.allowOnly({"path", "costMs"});
                       service.probe.path = probe.text("path", service.probe.path);
-                      service.probe.cost = milliseconds(probe, "costMs", service.probe.cost);
+                      service.probe.cost = readMilliseconds(probe, "costMs", service.probe.cost);
                   });
-    service.queue = reader.whole("queue", service.queue, {0, 100'000});
-    service.maxWait = milliseconds(reader, "maxWaitMs", service.maxWait);
-    service.deadline = milliseconds(reader, "deadlineMs", service.deadline);
-    service.claimWindow = milliseconds(reader, "claimWindowMs", service.claimWindow);
-    if (service.claimWindow < leastClaimWindow)
-        reader.note("claimWindowMs", "expected at least 10000");
-
-    if (service.servers.size() > static_cast<std::size_t>(mostServers))
-        reader.note("servers", "expected at most 1000 servers");
-    noteRepeatedNames(service.servers, place + "/servers", findings);
+    service.queue = reader.integer("queue", service.queue, {0, 100'000});
+    service.maxWait = readMilliseconds(reader, "maxWaitMs", service.maxWait);
+    service.deadline = readMilliseconds(reader, "deadlineMs", service.deadline);
+    service.claimWindow = readMilliseconds(reader, "claimWindowMs", service.claimWindow);
+    if (service.claimWindow < minClaimWindow)
+        reader.addFinding("claimWindowMs", "expected at least 10000");
+
+    if (service.servers.size() > static_cast<std::size_t>(maxServers))
+        reader.addFinding("servers", "expected at most 1000 servers");
+    reportDuplicateNames(service.servers, place + "/servers", findings);
     return service;
 }
 
@@ -139,7 +139,7 @@
     workspace.measuringBudget = reader.number("measuringBudgetMsPerS", 0, {0, 1'000'000});
     reader.each("services", [&](const json& service, const std::string& servicePlace)
                 { workspace.services.push_back(readService(service, servicePlace, findings)); });
-    noteRepeatedNames(workspace.services, place + "/services", findings);
+    reportDuplicateNames(workspace.services, place + "/services", findings);
     return workspace;
 }
 
--- a/test/config/WorkspaceParser.test.cpp
+++ b/test/config/WorkspaceParser.test.cpp
@@ -10,14 +10,14 @@
 using namespace sailpath;
 
 ////////////////////////////////////////////////////////////
-bool finds(const core::Findings& findings, std::string_view place)
+bool hasFindingAt(const core::Findings& findings, std::string_view place)
 {
     const auto all = findings.all();
     return std::any_of(all.begin(), all.end(),
                        [place](const core::Finding& finding) { return finding.place == place; });
 }
 
-constexpr std::string_view good = R"({
+constexpr std::string_view validDeclaration = R"({
     // Comments are allowed.
     "workspace": "admissa", "measuringBudgetMsPerS": 12.5,
     "services": [{"name": "portal",
@@ -31,14 +31,14 @@
 BOOST_AUTO_TEST_SUITE(WorkspaceParser)
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(readsAndWritesTheSame)
+BOOST_AUTO_TEST_CASE(formattedWorkspaceParsesToTheSameWorkspace)
 {
-    const auto parsed = config::parseWorkspace(good, "a.json");
+    const auto parsed = config::parseWorkspace(validDeclaration, "a.json");
     BOOST_REQUIRE_MESSAGE(parsed.workspace, parsed.findings.text());
     BOOST_TEST(parsed.workspace->services.front().servers.front().slots == 4U);
-    const auto again = config::parseWorkspace(config::formatWorkspace(*parsed.workspace), "a.json");
-    BOOST_REQUIRE(again.workspace);
-    BOOST_TEST((*again.workspace == *parsed.workspace));
+    const auto reparsed = config::parseWorkspace(config::formatWorkspace(*parsed.workspace), "a.json");
+    BOOST_REQUIRE(reparsed.workspace);
+    BOOST_TEST((*reparsed.workspace == *parsed.workspace));
 }
 
 ////////////////////////////////////////////////////////////
@@ -55,11 +55,11 @@
                               "b.json:/services/0/servers/1/slots", "b.json:/services/0/servers/1/name",
                               "b.json:/services/0/routes/0/path", "b.json:/services/0/routes/0/methods/0",
                               "b.json:/services/0/routes/0/priority", "b.json:/services/0/retry/attempts"})
-        BOOST_TEST(finds(parsed.findings, place), place);
+        BOOST_TEST(hasFindingAt(parsed.findings, place), place);
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(survivesWhatIsNoDeclaration)
+BOOST_AUTO_TEST_CASE(reportsFindingsForInvalidDocuments)
 {
     for (const char* text : {"", "{", "[]", "null", "{\"workspace\":{}}", "{\"workspace\":\"a\",\"services\":{}}",
                              "{\"workspace\":\"a\",\"services\":[1]}", "\xff\xfe"})
@@ -69,7 +69,7 @@
 ////////////////////////////////////////////////////////////
 BOOST_AUTO_TEST_CASE(undeclaredRoutesAreNotRepeatable)
 {
-    const auto parsed = config::parseWorkspace(good, "a.json");
+    const auto parsed = config::parseWorkspace(validDeclaration, "a.json");
     BOOST_REQUIRE(parsed.workspace);
     const config::Service& service = parsed.workspace->services.front();
     BOOST_TEST(service.routeFor("GET", "/status").repeatable);
@@ -78,7 +78,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(hostNamesServiceAndWorkspace)
+BOOST_AUTO_TEST_CASE(hostHeaderNamesServiceAndWorkspace)
 {
     const auto host = config::parseHost("portal.admissa.example.org:8080");
     BOOST_REQUIRE(host);
