--- a/include/sailpath/control/ControlThread.hpp
+++ b/include/sailpath/control/ControlThread.hpp
@@ -5,7 +5,7 @@
 #include <sailpath/adapters/peers/PeerLoop.hpp>
 #include <sailpath/control/ProbingLease.hpp>
 #include <sailpath/control/TaskThread.hpp>
-#include <sailpath/entry/DispatcherDoor.hpp>
+#include <sailpath/entry/SharedDispatcher.hpp>
 #include <sailpath/node/Controller.hpp>
 #include <sailpath/ports/EventLog.hpp>
 #include <sailpath/ports/Store.hpp>
@@ -29,7 +29,7 @@
     ports::Store&                  watcher; //!< For the watch; used by another
     ports::VmList&                 vms;     //!< List of VMs
     adapters::http::BackendClient& client;  //!< For probes
-    entry::DispatcherDoor&         door;    //!< Where configuration is put in force
+    entry::SharedDispatcher&       door;    //!< Where configuration is put in force
     ports::EventLog&               log;     //!< Events
 };
 
--- a/include/sailpath/entry/ClaimDoor.hpp
+++ b/include/sailpath/entry/ClaimBatcher.hpp
@@ -19,7 +19,7 @@
 /// A claim alone is committed at once; those that come while a commit is
 /// under way, or too soon after the last, share the next one.
 ////////////////////////////////////////////////////////////
-class ClaimDoor
+class ClaimBatcher
 {
 public:
     ////////////////////////////////////////////////////////////
@@ -28,11 +28,11 @@
     /// \param store The store; used by that thread only
     /// \param least Least time between two commits, so that the fleet keeps to the store's rate
     ////////////////////////////////////////////////////////////
-    ClaimDoor(ports::Store& store, std::function<core::Duration()> least);
+    ClaimBatcher(ports::Store& store, std::function<core::Duration()> least);
 
-    ~ClaimDoor();
-    ClaimDoor(const ClaimDoor&) = delete;
-    ClaimDoor& operator=(const ClaimDoor&) = delete;
+    ~ClaimBatcher();
+    ClaimBatcher(const ClaimBatcher&) = delete;
+    ClaimBatcher& operator=(const ClaimBatcher&) = delete;
 
     ////////////////////////////////////////////////////////////
     /// \brief Make a claim durable, waiting for the verdict
--- a/include/sailpath/entry/Proxy.hpp
+++ b/include/sailpath/entry/Proxy.hpp
@@ -2,8 +2,8 @@
 
 #include <sailpath/adapters/http/BackendClient.hpp>
 #include <sailpath/adapters/http/CallerRequest.hpp>
-#include <sailpath/entry/ClaimDoor.hpp>
-#include <sailpath/entry/DispatcherDoor.hpp>
+#include <sailpath/entry/ClaimBatcher.hpp>
+#include <sailpath/entry/SharedDispatcher.hpp>
 #include <sailpath/metrics/TrafficMetrics.hpp>
 #include <sailpath/ports/EventLog.hpp>
 
@@ -35,7 +35,7 @@
     /// \param metrics Receives what became of each request
     /// \param log     Receives events
     ////////////////////////////////////////////////////////////
-    Proxy(std::string node, DispatcherDoor& door, adapters::http::BackendClient& client, ClaimDoor& claims,
+    Proxy(std::string node, SharedDispatcher& door, adapters::http::BackendClient& client, ClaimBatcher& claims,
           metrics::TrafficMetrics& metrics, ports::EventLog& log);
 
     ////////////////////////////////////////////////////////////
@@ -63,9 +63,9 @@
                                                      const std::string& id, std::optional<HeldClaim>& held);
 
     std::string                    m_node;         //!< Part of request ids
-    DispatcherDoor&                m_door;         //!< Decisions
+    SharedDispatcher&              m_door;         //!< Decisions
     adapters::http::BackendClient& m_client;       //!< Connections to servers
-    ClaimDoor&                     m_claims;       //!< Keys of requests
+    ClaimBatcher&                  m_claims;       //!< Keys of requests
     metrics::TrafficMetrics&       m_metrics;      //!< Counts and latencies
     ports::EventLog&               m_log;          //!< Events
     std::atomic<std::uint64_t>     m_nextId{1};    //!< For request ids
--- a/include/sailpath/entry/DispatcherDoor.hpp
+++ b/include/sailpath/entry/SharedDispatcher.hpp
@@ -16,13 +16,13 @@
 /// One short lock around each decision; a request that is held blocks its
 /// own thread only.
 ////////////////////////////////////////////////////////////
-class DispatcherDoor
+class SharedDispatcher
 {
 public:
     ////////////////////////////////////////////////////////////
     /// \brief Create the door and the dispatcher behind it
     ////////////////////////////////////////////////////////////
-    explicit DispatcherDoor(node::DispatcherSettings settings);
+    explicit SharedDispatcher(node::DispatcherSettings settings);
 
     ////////////////////////////////////////////////////////////
     /// \brief Decide about a request, waiting while it is held
--- a/src/programs/EntryStatus.hpp
+++ b/src/programs/EntryStatus.hpp
@@ -3,7 +3,7 @@
 #include <sailpath/adapters/http/Ingress.hpp>
 #include <sailpath/adapters/settings/Endpoint.hpp>
 #include <sailpath/control/ControlThread.hpp>
-#include <sailpath/entry/DispatcherDoor.hpp>
+#include <sailpath/entry/SharedDispatcher.hpp>
 #include <sailpath/metrics/TrafficMetrics.hpp>
 
 #include <atomic>
@@ -19,7 +19,7 @@
 {
     std::string                    node;    //!< Name of this VM
     control::ControlThread&        control; //!< Control state
-    entry::DispatcherDoor&         door;    //!< Decisions
+    entry::SharedDispatcher&       door;    //!< Decisions
     metrics::TrafficMetrics&       metrics; //!< Counts
     const adapters::http::Ingress& ingress; //!< Connections
     const std::atomic<bool>&       leaving; //!< A planned stop has begun
--- a/src/sailpath/entry/ClaimDoor.cpp
+++ b/src/sailpath/entry/ClaimBatcher.cpp
@@ -1,4 +1,4 @@
-#include <sailpath/entry/ClaimDoor.hpp>
+#include <sailpath/entry/ClaimBatcher.hpp>
 
 #include <sailpath/entry/SteadyClock.hpp>
 
@@ -16,7 +16,7 @@
 } // namespace
 
 ////////////////////////////////////////////////////////////
-ClaimDoor::ClaimDoor(ports::Store& store, std::function<core::Duration()> least) :
+ClaimBatcher::ClaimBatcher(ports::Store& store, std::function<core::Duration()> least) :
 m_least(std::move(least)),
 m_writer(store, steadyNow),
 m_thread([this] { run(); })
@@ -24,7 +24,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-ClaimDoor::~ClaimDoor()
+ClaimBatcher::~ClaimBatcher()
 {
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
@@ -35,7 +35,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-claims::ClaimVerdict ClaimDoor::claim(const claims::Claim& claim)
+claims::ClaimVerdict ClaimBatcher::claim(const claims::Claim& claim)
 {
     std::unique_lock<std::mutex> lock(m_mutex);
     if (m_ending || std::chrono::steady_clock::now() < m_downUntil)
@@ -52,7 +52,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ClaimDoor::release(claims::Claim claim)
+void ClaimBatcher::release(claims::Claim claim)
 {
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
@@ -62,14 +62,14 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t ClaimDoor::unreleased()
+std::size_t ClaimBatcher::unreleased()
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     return m_releases.size();
 }
 
 ////////////////////////////////////////////////////////////
-void ClaimDoor::run()
+void ClaimBatcher::run()
 {
     std::unique_lock<std::mutex> lock(m_mutex);
     while (!m_ending || !m_waiting.empty())
@@ -92,7 +92,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ClaimDoor::commitOnce(std::unique_lock<std::mutex>& lock)
+void ClaimBatcher::commitOnce(std::unique_lock<std::mutex>& lock)
 {
     const std::size_t           count = std::min(m_waiting.size(), mostInBatch);
     const std::vector<Waiting*> taken(m_waiting.begin(), m_waiting.begin() + static_cast<std::ptrdiff_t>(count));
@@ -126,7 +126,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ClaimDoor::releaseOnce(std::unique_lock<std::mutex>& lock)
+void ClaimBatcher::releaseOnce(std::unique_lock<std::mutex>& lock)
 {
     const claims::Claim claim = m_releases.front();
     lock.unlock();
--- a/src/sailpath/entry/Proxy.cpp
+++ b/src/sailpath/entry/Proxy.cpp
@@ -169,7 +169,7 @@
 } // namespace
 
 ////////////////////////////////////////////////////////////
-Proxy::Proxy(std::string node, DispatcherDoor& door, adapters::http::BackendClient& client, ClaimDoor& claims,
+Proxy::Proxy(std::string node, SharedDispatcher& door, adapters::http::BackendClient& client, ClaimBatcher& claims,
              metrics::TrafficMetrics& metrics, ports::EventLog& log) :
 m_node(std::move(node)),
 m_door(door),
--- a/src/sailpath/entry/DispatcherDoor.cpp
+++ b/src/sailpath/entry/SharedDispatcher.cpp
@@ -1,4 +1,4 @@
-#include <sailpath/entry/DispatcherDoor.hpp>
+#include <sailpath/entry/SharedDispatcher.hpp>
 
 #include <sailpath/entry/SteadyClock.hpp>
 
@@ -13,13 +13,13 @@
 } // namespace
 
 ////////////////////////////////////////////////////////////
-DispatcherDoor::DispatcherDoor(node::DispatcherSettings settings) :
+SharedDispatcher::SharedDispatcher(node::DispatcherSettings settings) :
 m_dispatcher(std::move(settings))
 {
 }
 
 ////////////////////////////////////////////////////////////
-node::Step DispatcherDoor::admit(const node::Request& request, const std::function<bool()>& cancelled)
+node::Step SharedDispatcher::admit(const node::Request& request, const std::function<bool()>& cancelled)
 {
     std::unique_lock<std::mutex> lock(m_mutex);
     node::Step                   step = m_dispatcher.admit(request, steadyNow());
@@ -30,7 +30,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-node::Step DispatcherDoor::finish(node::Ticket ticket, const node::Outcome& outcome)
+node::Step SharedDispatcher::finish(node::Ticket ticket, const node::Outcome& outcome)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     node::Step                        step = m_dispatcher.finish(ticket, outcome, steadyNow());
@@ -39,7 +39,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void DispatcherDoor::tick()
+void SharedDispatcher::tick()
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     m_dispatcher.tick(steadyNow());
@@ -47,8 +47,8 @@
 }
 
 ////////////////////////////////////////////////////////////
-node::Step DispatcherDoor::wait(node::Ticket ticket, std::unique_lock<std::mutex>& lock,
-                                const std::function<bool()>& cancelled)
+node::Step SharedDispatcher::wait(node::Ticket ticket, std::unique_lock<std::mutex>& lock,
+                                  const std::function<bool()>& cancelled)
 {
     Waiter waiter;
     if (m_waiters.size() <= ticket)
@@ -69,7 +69,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void DispatcherDoor::deliver()
+void SharedDispatcher::deliver()
 {
     m_dispatcher.takeReleased(m_released);
     for (const node::Step& step : m_released)
--- a/test/entry/Proxy.test.cpp
+++ b/test/entry/Proxy.test.cpp
@@ -109,11 +109,11 @@
     }
 
     SilentLog                              log;
-    entry::DispatcherDoor                  door{{}};
+    entry::SharedDispatcher                door{{}};
     adapters::http::BackendClient          backend{200ms, 5s};
     metrics::TrafficMetrics                metrics;
     support::FakeStore                     store;
-    entry::ClaimDoor                       claims{store, [] { return core::Duration{0}; }};
+    entry::ClaimBatcher                    claims{store, [] { return core::Duration{0}; }};
     entry::Proxy                           proxy{"vm-1", door, backend, claims, metrics, log};
     std::optional<adapters::http::Ingress> ingress;
     std::atomic<bool>                      ending{false};
