--- a/include/sailpath/config/Service.hpp
+++ b/include/sailpath/config/Service.hpp
@@ -45,8 +45,7 @@
     unsigned                   queue{64}; //!< Longest queue of waiting requests on each VM
     core::Duration             maxWait{std::chrono::milliseconds{250}}; //!< Longest time a request waits for a server
     core::Duration             deadline{std::chrono::seconds{10}}; //!< Time limit of a request whose caller sets none
-    core::Duration             claimWindow{
-        std::chrono::minutes{10}}; //!< How long duplicates of a request with an idempotency key are detected
+    core::Duration claimWindow{std::chrono::minutes{10}}; //!< How long duplicates of a keyed request are detected
 
     ////////////////////////////////////////////////////////////
     /// \brief Find the route that applies to a request
--- a/include/sailpath/control/ControlThread.hpp
+++ b/include/sailpath/control/ControlThread.hpp
@@ -21,36 +21,36 @@
 namespace sailpath::control
 {
 ////////////////////////////////////////////////////////////
-/// \brief What the control thread works with; all of it outlives the thread
+/// \brief Interfaces that the control thread uses; all of them must outlive the thread
 ////////////////////////////////////////////////////////////
 struct ControlPorts
 {
-    ports::Store&                  store;   //!< For calls; used by one thread
-    ports::Store&                  watcher; //!< For the watch; used by another
-    ports::VmList&                 vms;     //!< List of VMs
-    adapters::http::BackendClient& client;  //!< For probes
-    entry::SharedDispatcher&       door;    //!< Where configuration is put in force
-    ports::EventLog&               log;     //!< Events
+    ports::Store&                  store;      //!< Connection for single calls; used by the store thread only
+    ports::Store&                  watcher;    //!< Connection for the watch; used by the watch thread only
+    ports::VmList&                 vms;        //!< Source of the list of VMs
+    adapters::http::BackendClient& client;     //!< HTTP client for probes
+    entry::SharedDispatcher&       dispatcher; //!< Receives configuration and load reports
+    ports::EventLog&               log;        //!< Log of events
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What the health page says of the control state
+/// \brief State of the control logic, as shown on the health page
 ////////////////////////////////////////////////////////////
 struct ControlStatus
 {
-    std::uint64_t                   revision{0};   //!< Configuration in force
-    bool                            relay{false};  //!< Watches the store
-    std::vector<membership::Member> members;       //!< Membership
-    std::uint64_t                   probes{0};     //!< Probes sent
-    std::map<std::string, double>   probeCost;     //!< Server-milliseconds that they were charged, by workspace
-    std::uint64_t                   storeCalls{0}; //!< Calls to the store
+    std::uint64_t                   revision{0};   //!< Store revision of the configuration in force
+    bool                            relay{false};  //!< Whether this VM watches the store
+    std::vector<membership::Member> members;       //!< Known VMs
+    std::uint64_t                   probes{0};     //!< Probes sent since the start
+    std::map<std::string, double>   probeCost;     //!< Server time charged for probes in milliseconds, by workspace
+    std::uint64_t                   storeCalls{0}; //!< Calls to the store since the start
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Runs one node's control logic: the loop with peers, the store, probes
+/// \brief Runs the control logic of one node and its communication with peers, store and servers
 ///
-/// The controller lives on one thread. Calls that block run on helper
-/// threads and come back to it.
+/// The controller is used by the loop thread only. Blocking calls run on
+/// helper threads, which post their results to the loop.
 ////////////////////////////////////////////////////////////
 class ControlThread : private adapters::peers::PeerEvents
 {
@@ -58,9 +58,9 @@
     ////////////////////////////////////////////////////////////
     /// \brief Start the threads
     ///
-    /// \param settings Of the control logic
-    /// \param peers    Of the link between peers
-    /// \param ports    What it works with
+    /// \param settings Settings of the control logic
+    /// \param peers    Settings of the communication between peers
+    /// \param ports    Interfaces that the control logic uses
     ////////////////////////////////////////////////////////////
     ControlThread(node::ControllerSettings settings, adapters::peers::PeerSettings peers, ControlPorts ports);
 
@@ -69,22 +69,22 @@
     ControlThread& operator=(const ControlThread&) = delete;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Tell peers that this VM stops
+    /// \brief Announce to peers that this VM is stopping
     ////////////////////////////////////////////////////////////
     void leave();
 
     ////////////////////////////////////////////////////////////
-    /// \brief A copy of the present status
+    /// \brief Get a copy of the current status; waits for the loop
     ////////////////////////////////////////////////////////////
     [[nodiscard]] ControlStatus status();
 
     ////////////////////////////////////////////////////////////
-    /// \brief VMs that are alive, this one included; does not wait for the loop
+    /// \brief Get the number of VMs that are alive, including this one; does not wait for the loop
     ////////////////////////////////////////////////////////////
     [[nodiscard]] int aliveVms() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Why the loop ended by itself; empty while it runs
+    /// \brief Get the error that ended the loop; empty while the loop runs
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::string failure() const;
 
@@ -97,7 +97,7 @@
     void pullFailed(const std::string& peer) override;
     void tick() override;
 
-    void carryOut();
+    void runActions();
     void perform(const node::ExchangeWith& action);
     void perform(const node::PullDocuments& action);
     void perform(const node::ReadStore& action);
@@ -113,28 +113,28 @@
     void perform(const node::RejectedDocument& action);
     void perform(const node::HearReport& action);
 
-    void onLoop(const std::function<void()>& work);
+    void runOnLoop(const std::function<void()>& work);
 
-    node::ControllerSettings        m_settings;       //!< Of the control logic
-    ControlPorts                    m_ports;          //!< What it works with
-    node::Controller                m_controller;     //!< The control logic
-    node::ControlActions            m_actions;        //!< Actions to carry out
-    std::vector<node::ServerReport> m_news;           //!< Reused by each tick
-    adapters::peers::PeerLoop       m_loop;           //!< The thread's loop
-    ProbingLease                    m_lease;          //!< The right to probe; used by the store's thread
-    std::atomic<std::uint64_t>      m_watchNumber{0}; //!< Which watch is wanted; 0 for none
-    std::uint64_t                   m_watches{0};     //!< Watches started
-    std::uint64_t                   m_probes{0};      //!< Probes sent
-    std::map<std::string, double>   m_probeCost;      //!< Charged for them, by workspace
-    std::atomic<std::uint64_t>      m_storeCalls{0};  //!< Calls to the store
-    std::atomic<int>                m_alive{1};       //!< VMs that are alive
-    std::atomic<bool>               m_ending{false};  //!< The threads are to end
-    std::string                     m_failure;        //!< Why the loop ended
-    std::atomic<bool>               m_failed{false};  //!< `m_failure` is set
-    TaskThread                      m_storeThread;    //!< For calls to the store
-    TaskThread                      m_watchThread;    //!< For the watch
-    TaskThread                      m_probeThread;    //!< For probes
-    std::thread                     m_thread;         //!< Runs the loop
+    node::ControllerSettings        m_settings;        //!< Settings of the control logic
+    ControlPorts                    m_ports;           //!< Interfaces that the control logic uses
+    node::Controller                m_controller;      //!< The control logic
+    node::ControlActions            m_actions;         //!< Actions to execute
+    std::vector<node::ServerReport> m_reports;         //!< Reports that a server is leaving; buffer reused by each tick
+    adapters::peers::PeerLoop       m_loop;            //!< Event loop of `m_thread`
+    ProbingLease                    m_lease;           //!< Lease on the right to probe; used by the store thread
+    std::atomic<std::uint64_t>      m_watchNumber{0};  //!< Number of the current watch; 0 if none
+    std::uint64_t                   m_watches{0};      //!< Watches started so far
+    std::uint64_t                   m_probes{0};       //!< Probes sent so far
+    std::map<std::string, double>   m_probeCost;       //!< Server time charged for probes in milliseconds, by workspace
+    std::atomic<std::uint64_t>      m_storeCalls{0};   //!< Calls to the store so far
+    std::atomic<int>                m_alive{1};        //!< VMs that are alive, including this one
+    std::atomic<bool>               m_stopping{false}; //!< Set when the threads must end
+    std::string                     m_failure;         //!< Error that ended the loop; valid once `m_failed` is set
+    std::atomic<bool>               m_failed{false};   //!< Set once the loop has ended with an error
+    TaskThread                      m_storeThread;     //!< Runs calls to the store
+    TaskThread                      m_watchThread;     //!< Runs the watch
+    TaskThread                      m_probeThread;     //!< Runs probes
+    std::thread                     m_thread;          //!< Runs the loop
 };
 
 } // namespace sailpath::control
--- a/include/sailpath/control/ProbingLease.hpp
+++ b/include/sailpath/control/ProbingLease.hpp
@@ -10,32 +10,32 @@
 namespace sailpath::control
 {
 ////////////////////////////////////////////////////////////
-/// \brief The right to probe, as a key in the store under a lease
+/// \brief Acquires and renews the right to probe: a key in the store that is bound to a lease
 ////////////////////////////////////////////////////////////
 class ProbingLease
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Create
+    /// \brief Create a client of the lease
     ///
-    /// \param store    The store; outlives this
-    /// \param settings Name of this VM and length of leases; outlive this
+    /// \param store    The store; must outlive this object
+    /// \param settings Name of this VM and duration of leases; must outlive this object
     ////////////////////////////////////////////////////////////
     ProbingLease(ports::Store& store, const node::ControllerSettings& settings);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Be granted a lease if there is none, and create the group's key under it
+    /// \brief Obtain or renew a lease, and create the key of the group under the lease
     ////////////////////////////////////////////////////////////
     [[nodiscard]] node::LeaseAnswer acquire(const node::AcquireLease& action);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Renew a lease
+    /// \brief Renew the lease `lease`
     ////////////////////////////////////////////////////////////
     [[nodiscard]] node::LeaseAnswer renew(std::int64_t lease);
 
 private:
-    ports::Store&                   m_store;    //!< The store
-    const node::ControllerSettings& m_settings; //!< Name and length
+    ports::Store&                   m_store;    //!< Store that holds leases and keys
+    const node::ControllerSettings& m_settings; //!< Name of this VM and duration of leases
 };
 
 } // namespace sailpath::control
--- a/include/sailpath/control/ServerProbe.hpp
+++ b/include/sailpath/control/ServerProbe.hpp
@@ -9,12 +9,12 @@
 namespace sailpath::control
 {
 ////////////////////////////////////////////////////////////
-/// \brief Probe a backend server
+/// \brief Request the load of a backend server
 ///
-/// \param client Connections to servers
-/// \param target The server, and what a probe asks for
+/// \param client HTTP client with connections to servers
+/// \param target The server and the path of the probe request
 ///
-/// \return What it said of its load; nothing when it said nothing
+/// \return The load that the server reported; `std::nullopt` if the answer has no load
 ////////////////////////////////////////////////////////////
 [[nodiscard]] std::optional<node::ServerReport> probeServer(adapters::http::BackendClient& client,
                                                             const node::Target&            target);
--- a/include/sailpath/control/TaskThread.hpp
+++ b/include/sailpath/control/TaskThread.hpp
@@ -9,7 +9,7 @@
 namespace sailpath::control
 {
 ////////////////////////////////////////////////////////////
-/// \brief One thread that runs tasks one after another
+/// \brief Thread that runs posted tasks in order, one at a time
 ////////////////////////////////////////////////////////////
 class TaskThread
 {
@@ -20,23 +20,23 @@
     TaskThread& operator=(const TaskThread&) = delete;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Queue a task
+    /// \brief Append a task to the queue
     ////////////////////////////////////////////////////////////
     void post(std::function<void()> task);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Drop the tasks that wait and end the thread after the one that runs
+    /// \brief Discard queued tasks and join the thread once the running task has ended
     ////////////////////////////////////////////////////////////
     void stop();
 
 private:
     void run();
 
-    std::mutex                        m_mutex;         //!< Guards what follows
-    std::condition_variable           m_wake;          //!< Signals a task or the end
-    std::deque<std::function<void()>> m_tasks;         //!< Tasks that wait
-    bool                              m_ending{false}; //!< `stop` was called
-    std::thread                       m_thread;        //!< Runs the tasks
+    std::mutex                        m_mutex;           //!< Guards the tasks and the stop flag
+    std::condition_variable           m_wake;            //!< Signals a new task or the stop
+    std::deque<std::function<void()>> m_tasks;           //!< Queued tasks
+    bool                              m_stopping{false}; //!< `stop` has been called
+    std::thread                       m_thread;          //!< Runs the tasks
 };
 
 } // namespace sailpath::control
--- a/src/sailpath/control/ControlThread.cpp
+++ b/src/sailpath/control/ControlThread.cpp
@@ -56,7 +56,7 @@
 ////////////////////////////////////////////////////////////
 ControlThread::~ControlThread()
 {
-    m_ending = true;
+    m_stopping = true;
     m_watchNumber = 0;
     m_ports.watcher.endWatch();
     m_storeThread.stop();
@@ -69,14 +69,14 @@
 ////////////////////////////////////////////////////////////
 void ControlThread::leave()
 {
-    onLoop([this] { m_controller.leave(steadyNow(), m_actions); });
+    runOnLoop([this] { m_controller.leave(steadyNow(), m_actions); });
 }
 
 ////////////////////////////////////////////////////////////
 ControlStatus ControlThread::status()
 {
     ControlStatus status;
-    onLoop(
+    runOnLoop(
         [this, &status]
         {
             status.revision = m_controller.revision();
@@ -105,7 +105,7 @@
 node::Digest ControlThread::exchangeReceived(const node::Digest& digest)
 {
     node::Digest answer = m_controller.exchangeReceived(digest, steadyNow(), m_actions);
-    carryOut();
+    runActions();
     return answer;
 }
 
@@ -119,7 +119,7 @@
 void ControlThread::exchanged(const node::Digest& answer)
 {
     m_controller.exchanged(answer, steadyNow(), m_actions);
-    carryOut();
+    runActions();
 }
 
 ////////////////////////////////////////////////////////////
@@ -127,14 +127,14 @@
 {
     m_ports.log.write(Level::Info, "peer-unreachable", {{"peer", peer}});
     m_controller.exchangeFailed(peer, steadyNow(), m_actions);
-    carryOut();
+    runActions();
 }
 
 ////////////////////////////////////////////////////////////
 void ControlThread::documentsReceived(const membership::Member& peer, const state::DocumentBatch& batch)
 {
     m_controller.documentsReceived(peer, batch, steadyNow(), m_actions);
-    carryOut();
+    runActions();
 }
 
 ////////////////////////////////////////////////////////////
@@ -147,8 +147,8 @@
 ////////////////////////////////////////////////////////////
 void ControlThread::tick()
 {
-    m_ports.door.with([this](node::Dispatcher& dispatcher) { dispatcher.takeNews(m_news); });
-    for (const node::ServerReport& report : m_news)
+    m_ports.dispatcher.with([this](node::Dispatcher& dispatcher) { dispatcher.takeNews(m_reports); });
+    for (const node::ServerReport& report : m_reports)
     {
         m_ports.log.write(Level::Info, "server-leaving",
                           {{"workspace", report.workspace}, {"service", report.service}, {"server", report.server}});
@@ -156,13 +156,13 @@
     }
     m_controller.tick(steadyNow(), m_actions);
     m_alive = std::max(1, static_cast<int>(m_controller.members().aliveNames().size()));
-    carryOut();
+    runActions();
 }
 
 ////////////////////////////////////////////////////////////
-void ControlThread::carryOut()
+void ControlThread::runActions()
 {
-    // Carrying out an action may not add others: answers come later, through the loop.
+    // Executing an action must not add other actions: results arrive later, through the loop.
     node::ControlActions actions;
     actions.swap(m_actions);
     for (const node::ControlAction& action : actions)
@@ -189,7 +189,7 @@
         {
             ++m_storeCalls;
             const ports::ReadAnswer answer = m_ports.store.range(configurationPrefix);
-            onLoop(
+            runOnLoop(
                 [this, &answer]
                 {
                     const bool read = answer.status == ports::StoreStatus::Ok;
@@ -218,10 +218,10 @@
                 {
                     if (m_watchNumber != number)
                         return false;
-                    onLoop([this, items] { m_controller.storeChanged(toDocuments(items), steadyNow(), m_actions); });
+                    runOnLoop([this, items] { m_controller.storeChanged(toDocuments(items), steadyNow(), m_actions); });
                     return true;
                 });
-            onLoop(
+            runOnLoop(
                 [this, number]
                 {
                     if (m_watchNumber != number)
@@ -246,7 +246,7 @@
         {
             ++m_storeCalls;
             if (const auto members = m_ports.vms.read())
-                onLoop([this, &members] { m_controller.membersListed(*members, steadyNow()); });
+                runOnLoop([this, &members] { m_controller.membersListed(*members, steadyNow()); });
         });
 }
 
@@ -258,7 +258,7 @@
         {
             m_storeCalls += 2;
             const node::LeaseAnswer answer = m_lease.acquire(action);
-            onLoop(
+            runOnLoop(
                 [this, &answer]
                 {
                     if (answer.result == node::LeaseResult::Held)
@@ -276,7 +276,7 @@
         {
             ++m_storeCalls;
             const node::LeaseAnswer answer = m_lease.renew(lease);
-            onLoop(
+            runOnLoop(
                 [this, &answer]
                 {
                     if (answer.result == node::LeaseResult::Gone)
@@ -306,14 +306,15 @@
         [this, target = action.target]
         {
             if (const auto report = probeServer(m_ports.client, *target))
-                onLoop([this, &report] { m_controller.probed(*report, steadyNow(), m_actions); });
+                runOnLoop([this, &report] { m_controller.probed(*report, steadyNow(), m_actions); });
         });
 }
 
 ////////////////////////////////////////////////////////////
 void ControlThread::perform(const node::ApplyWorkspace& action)
 {
-    m_ports.door.with([&action](node::Dispatcher& dispatcher) { dispatcher.configure(action.workspace, steadyNow()); });
+    m_ports.dispatcher.with([&action](node::Dispatcher& dispatcher)
+                            { dispatcher.configure(action.workspace, steadyNow()); });
     m_ports.log.write(Level::Info, "configuration-in-force",
                       {{"workspace", action.workspace.name}, {"revision", action.revision}});
 }
@@ -321,8 +322,8 @@
 ////////////////////////////////////////////////////////////
 void ControlThread::perform(const node::RemoveWorkspace& action)
 {
-    m_ports.door.with([&action](node::Dispatcher& dispatcher)
-                      { dispatcher.removeWorkspace(action.workspace, steadyNow()); });
+    m_ports.dispatcher.with([&action](node::Dispatcher& dispatcher)
+                            { dispatcher.removeWorkspace(action.workspace, steadyNow()); });
     m_ports.log.write(Level::Info, "workspace-removed",
                       {{"workspace", action.workspace}, {"revision", action.revision}});
 }
@@ -339,7 +340,7 @@
 void ControlThread::perform(const node::HearReport& action)
 {
     const node::ServerReport& report = action.report;
-    m_ports.door.with(
+    m_ports.dispatcher.with(
         [&report](node::Dispatcher& dispatcher)
         {
             const auto at = steadyNow() - std::chrono::milliseconds{report.ageMs};
@@ -348,15 +349,15 @@
 }
 
 ////////////////////////////////////////////////////////////
-void ControlThread::onLoop(const std::function<void()>& work)
+void ControlThread::runOnLoop(const std::function<void()>& work)
 {
-    if (m_ending)
+    if (m_stopping)
         return;
     (void)m_loop.call(
         [this, &work]
         {
             work();
-            carryOut();
+            runActions();
         });
 }
 
--- a/src/sailpath/control/ProbingLease.cpp
+++ b/src/sailpath/control/ProbingLease.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 ////////////////////////////////////////////////////////////
-node::LeaseResult resultOf(ports::StoreStatus status)
+node::LeaseResult toLeaseResult(ports::StoreStatus status)
 {
     switch (status)
     {
@@ -38,7 +38,7 @@
     answer.sentAt = entry::steadyNow();
     const ports::LeaseGrant grant =
         action.lease == 0 ? m_store.grant(m_settings.leaseLength) : m_store.renew(action.lease);
-    answer.result = resultOf(grant.status);
+    answer.result = toLeaseResult(grant.status);
     answer.lease = grant.lease;
     answer.length = grant.length;
     if (answer.result != node::LeaseResult::Held)
@@ -60,7 +60,7 @@
     answer.renewal = true;
     answer.sentAt = entry::steadyNow();
     const ports::LeaseGrant grant = m_store.renew(lease);
-    answer.result = resultOf(grant.status);
+    answer.result = toLeaseResult(grant.status);
     answer.lease = lease;
     answer.length = grant.length;
     return answer;
--- a/src/sailpath/control/ServerProbe.cpp
+++ b/src/sailpath/control/ServerProbe.cpp
@@ -13,24 +13,24 @@
 using adapters::http::Header;
 using adapters::http::sameName;
 
-constexpr auto probeTime = std::chrono::milliseconds{500};
+constexpr auto probeTimeout = std::chrono::milliseconds{500};
 
 ////////////////////////////////////////////////////////////
-/// \brief Read what an answer's headers say of the load; false when they say nothing
+/// \brief Read the load report from the headers of an answer; false if the load is absent or invalid
 ////////////////////////////////////////////////////////////
 bool readLoad(const AnswerHead& head, node::ServerReport& report)
 {
-    bool found = false;
+    bool hasLoad = false;
     for (const Header& header : head.headers)
     {
         const char* const begin = header.value.data();
         const char* const end = begin + header.value.size();
         if (sameName(header.name, entry::headerLoad))
-            found = std::from_chars(begin, end, report.load.inFlight).ec == std::errc{};
+            hasLoad = std::from_chars(begin, end, report.load.inFlight).ec == std::errc{};
         else if (sameName(header.name, entry::headerDraining))
             report.draining = header.value == "true";
     }
-    return found;
+    return hasLoad;
 }
 
 } // namespace
@@ -47,18 +47,18 @@
     request.method = "GET";
     request.target = target.probePath;
     request.headers.push_back({"Host", target.service + "." + target.workspace});
-    request.deadline = std::chrono::steady_clock::now() + probeTime;
+    request.deadline = std::chrono::steady_clock::now() + probeTimeout;
 
-    bool                             answered = false;
+    bool                             reported = false;
     const adapters::http::AnswerSink sink{[&](const AnswerHead& head)
                                           {
-                                              answered = readLoad(head, report);
+                                              reported = readLoad(head, report);
                                               return true;
                                           },
                                           [](std::string_view) { return true; }};
     adapters::http::Cancellation     cancellation;
     (void)client.exchange(target.address, target.port, request, sink, cancellation);
-    return answered ? std::optional(report) : std::nullopt;
+    return reported ? std::optional(report) : std::nullopt;
 }
 
 } // namespace sailpath::control
--- a/src/sailpath/control/TaskThread.cpp
+++ b/src/sailpath/control/TaskThread.cpp
@@ -29,7 +29,7 @@
 {
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        m_ending = true;
+        m_stopping = true;
         m_tasks.clear();
     }
     m_wake.notify_one();
@@ -43,8 +43,8 @@
     while (true)
     {
         std::unique_lock<std::mutex> lock(m_mutex);
-        m_wake.wait(lock, [this] { return m_ending || !m_tasks.empty(); });
-        if (m_ending)
+        m_wake.wait(lock, [this] { return m_stopping || !m_tasks.empty(); });
+        if (m_stopping)
             return;
         const std::function<void()> task = std::move(m_tasks.front());
         m_tasks.pop_front();
