--- a/include/sailpath/entry/ClaimBatcher.hpp
+++ b/include/sailpath/entry/ClaimBatcher.hpp
@@ -14,10 +14,10 @@
 namespace sailpath::entry
 {
 ////////////////////////////////////////////////////////////
-/// \brief Lets many threads make claims through one writer, which commits them in groups
+/// \brief Collects the claims of many threads and commits them to the store in batches
 ///
-/// A claim alone is committed at once; those that come while a commit is
-/// under way, or too soon after the last, share the next one.
+/// A single claim is committed at once. Claims that arrive during a commit, or
+/// before the minimum interval has passed, are committed together in the next batch.
 ////////////////////////////////////////////////////////////
 class ClaimBatcher
 {
@@ -25,53 +25,53 @@
     ////////////////////////////////////////////////////////////
     /// \brief Start the writer's thread
     ///
-    /// \param store The store; used by that thread only
-    /// \param least Least time between two commits, so that the fleet keeps to the store's rate
+    /// \param store       The store; used by the writer's thread only
+    /// \param minInterval Returns the minimum interval between two commits, which keeps the fleet within the store's rate
     ////////////////////////////////////////////////////////////
-    ClaimBatcher(ports::Store& store, std::function<core::Duration()> least);
+    ClaimBatcher(ports::Store& store, std::function<core::Duration()> minInterval);
 
     ~ClaimBatcher();
     ClaimBatcher(const ClaimBatcher&) = delete;
     ClaimBatcher& operator=(const ClaimBatcher&) = delete;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Make a claim durable, waiting for the verdict
+    /// \brief Commit a claim durably; blocks until the verdict is known
     ////////////////////////////////////////////////////////////
     [[nodiscard]] claims::ClaimVerdict claim(const claims::Claim& claim);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Take a claim back in the background, as its request certainly did not run
+    /// \brief Release a claim in the background; only for a request that certainly did not run
     ////////////////////////////////////////////////////////////
     void release(claims::Claim claim);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Claims that are to be taken back and are not yet
+    /// \brief Get the number of claims whose release is pending
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] std::size_t unreleased();
+    [[nodiscard]] std::size_t pendingReleases();
 
 private:
-    struct Waiting
+    struct PendingClaim
     {
-        const claims::Claim* claim;                                      //!< What is claimed
-        claims::ClaimVerdict verdict{claims::ClaimVerdict::Unavailable}; //!< What came of it
-        bool                 done{false};                                //!< The verdict is there
+        const claims::Claim* claim;                                      //!< Claim to commit
+        claims::ClaimVerdict verdict{claims::ClaimVerdict::Unavailable}; //!< Result of the commit
+        bool                 done{false};                                //!< Set once `verdict` is final
     };
 
     void run();
     void commitOnce(std::unique_lock<std::mutex>& lock);
     void releaseOnce(std::unique_lock<std::mutex>& lock);
 
-    std::function<core::Duration()>       m_least;         //!< Least time between commits
-    claims::ClaimWriter                   m_writer;        //!< Writes; the thread's
-    std::mutex                            m_mutex;         //!< Guards what follows
-    std::condition_variable               m_wake;          //!< Signals work or the end
-    std::condition_variable               m_done;          //!< Signals verdicts
-    std::deque<Waiting*>                  m_waiting;       //!< Claims without a verdict
-    std::deque<claims::Claim>             m_releases;      //!< Claims to take back
-    bool                                  m_ending{false}; //!< The thread is to end
-    std::chrono::steady_clock::time_point m_nextCommit{};  //!< No commit before this
-    std::chrono::steady_clock::time_point m_downUntil{};   //!< The store failed: refuse at once until then
-    std::thread                           m_thread;        //!< Commits
+    std::function<core::Duration()>       m_minInterval;        //!< Returns the minimum interval between commits
+    claims::ClaimWriter                   m_writer;             //!< Writes to the store; used by `m_thread` only
+    std::mutex                            m_mutex;              //!< Guards the members below, except the thread
+    std::condition_variable               m_wake;               //!< Signals new work or the stop
+    std::condition_variable               m_done;               //!< Signals new verdicts
+    std::deque<PendingClaim*>             m_pending;            //!< Claims without a verdict
+    std::deque<claims::Claim>             m_releases;           //!< Claims to release
+    bool                                  m_stopping{false};    //!< Set when the thread must end
+    std::chrono::steady_clock::time_point m_nextCommit{};       //!< Earliest time of the next commit
+    std::chrono::steady_clock::time_point m_unavailableUntil{}; //!< Claims fail at once until then: the store failed
+    std::thread                           m_thread;             //!< Commits and releases claims
 };
 
 } // namespace sailpath::entry
--- a/include/sailpath/entry/Proxy.hpp
+++ b/include/sailpath/entry/Proxy.hpp
@@ -20,7 +20,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief Serves callers' requests: asks for decisions and carries them out
+/// \brief Serves callers' requests by executing the decisions of the dispatcher
 ////////////////////////////////////////////////////////////
 class Proxy : public adapters::http::RequestHandler
 {
@@ -28,14 +28,14 @@
     ////////////////////////////////////////////////////////////
     /// \brief Create a proxy
     ///
-    /// \param node    Name of this node, part of request ids
-    /// \param door    Decisions
-    /// \param client  Connections to backend servers
-    /// \param claims  Makes keys of requests durable
-    /// \param metrics Receives what became of each request
-    /// \param log     Receives events
+    /// \param node       Name of this node, used as a prefix of request ids
+    /// \param dispatcher Decides about requests and retries
+    /// \param client     Connections to backend servers
+    /// \param claims     Commits claims for idempotency keys
+    /// \param metrics    Receives outcome and latency of each request
+    /// \param log        Receives log events
     ////////////////////////////////////////////////////////////
-    Proxy(std::string node, SharedDispatcher& door, adapters::http::BackendClient& client, ClaimBatcher& claims,
+    Proxy(std::string node, SharedDispatcher& dispatcher, adapters::http::BackendClient& client, ClaimBatcher& claims,
           metrics::TrafficMetrics& metrics, ports::EventLog& log);
 
     ////////////////////////////////////////////////////////////
@@ -46,8 +46,8 @@
 private:
     struct HeldClaim
     {
-        claims::Claim   claim; //!< What is claimed
-        core::Timestamp until; //!< The request must not be sent from here on
+        claims::Claim   claim;      //!< Claim of the request's idempotency key
+        core::Timestamp sendBefore; //!< The request must not be sent at or after this time
     };
 
     [[nodiscard]] std::string      requestId(const adapters::http::RequestHead& head);
@@ -62,15 +62,15 @@
     [[nodiscard]] std::optional<node::Refusal> claim(const adapters::http::RequestHead& head, const node::Step& step,
                                                      const std::string& id, std::optional<HeldClaim>& held);
 
-    std::string                    m_node;         //!< Part of request ids
-    SharedDispatcher&              m_door;         //!< Decisions
-    adapters::http::BackendClient& m_client;       //!< Connections to servers
-    ClaimBatcher&                  m_claims;       //!< Keys of requests
-    metrics::TrafficMetrics&       m_metrics;      //!< Counts and latencies
-    ports::EventLog&               m_log;          //!< Events
-    std::atomic<std::uint64_t>     m_nextId{1};    //!< For request ids
-    std::int64_t                   m_start;        //!< Start of this process, part of claim tokens
-    std::atomic<std::uint64_t>     m_nextClaim{1}; //!< For claim tokens
+    std::string                    m_node;         //!< Name of this node, prefix of request ids
+    SharedDispatcher&              m_dispatcher;   //!< Decides about requests and retries
+    adapters::http::BackendClient& m_client;       //!< Connections to backend servers
+    ClaimBatcher&                  m_claims;       //!< Claims for idempotency keys
+    metrics::TrafficMetrics&       m_metrics;      //!< Receives outcomes and latencies
+    ports::EventLog&               m_log;          //!< Receives log events
+    std::atomic<std::uint64_t>     m_nextId{1};    //!< Number of the next request id
+    std::int64_t                   m_processStart; //!< Start time of this process, part of claim tokens
+    std::atomic<std::uint64_t>     m_nextClaim{1}; //!< Number of the next claim token
 };
 
 } // namespace sailpath::entry
--- a/include/sailpath/entry/SteadyClock.hpp
+++ b/include/sailpath/entry/SteadyClock.hpp
@@ -5,7 +5,7 @@
 namespace sailpath::entry
 {
 ////////////////////////////////////////////////////////////
-/// \brief Reading of the machine's steady clock, for the decision logic
+/// \brief Get the current time of the machine's steady clock as a timestamp of the decision logic
 ////////////////////////////////////////////////////////////
 [[nodiscard]] inline core::Timestamp steadyNow()
 {
@@ -14,7 +14,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief The steady clock's point for a timestamp of the decision logic
+/// \brief Convert a timestamp of the decision logic to a time point of the steady clock
 ////////////////////////////////////////////////////////////
 [[nodiscard]] inline std::chrono::steady_clock::time_point toSteady(core::Timestamp time)
 {
--- a/src/sailpath/entry/Attempt.cpp
+++ b/src/sailpath/entry/Attempt.cpp
@@ -15,12 +15,12 @@
 using adapters::http::sameName;
 using retries::AttemptResult;
 
-constexpr std::int64_t longestBackOffMs = 3'600'000; // A mistaken value of a server ends by itself
-constexpr std::size_t  mostKept = 64UL * 1024;       // Larger answers are passed on without waiting for a decision
+constexpr std::int64_t maxRetryAfterMs = 3'600'000;     // Bounds the effect of a wrong value sent by a server
+constexpr std::size_t  maxBufferedAnswer = 64UL * 1024; // Bytes; larger answers are forwarded without a decision
 
 ////////////////////////////////////////////////////////////
 template <typename Number>
-Number toNumber(std::string_view text, Number fallback)
+Number parseNumber(std::string_view text, Number fallback)
 {
     Number value{};
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
@@ -28,7 +28,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief Whether a status says that the server could not do its work
+/// \brief Check whether a status reports a failure of the server
 ////////////////////////////////////////////////////////////
 bool isFailure(int status)
 {
@@ -36,7 +36,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool isPrivate(std::string_view name)
+bool isInternalHeader(std::string_view name)
 {
     return sameName(name, headerLoad) || sameName(name, headerDraining);
 }
@@ -55,22 +55,22 @@
 ////////////////////////////////////////////////////////////
 node::Outcome Attempt::run(adapters::http::BackendClient& client, const node::Target& target)
 {
-    const adapters::http::AnswerSink sink{[this](const AnswerHead& head) { return takeHead(head); },
-                                          [this](std::string_view data) { return takeBody(data); }};
+    const adapters::http::AnswerSink sink{[this](const AnswerHead& head) { return receiveHead(head); },
+                                          [this](std::string_view data) { return receiveBody(data); }};
     const ExchangeEnd end = client.exchange(target.address, target.port, m_request, sink, m_caller.cancellation);
-    return judge(end);
+    return makeOutcome(end);
 }
 
 ////////////////////////////////////////////////////////////
-void Attempt::passOn()
+void Attempt::forwardAnswer()
 {
-    if (m_keepBack && !m_caller.answer.begun())
+    if (m_buffering && !m_caller.answer.begun())
     {
-        // Retries were made as far as the budget allows; a layer above must not multiply them.
+        // Retries have been made as far as the budget allows; a proxy or client above must not multiply the retries.
         if (!m_outcome.retryForbidden)
             m_head.headers.push_back({std::string(headerRetry), "never"});
         m_caller.answer.begin(m_head);
-        (void)m_caller.answer.body(m_kept);
+        (void)m_caller.answer.body(m_bufferedBody);
     }
     if (m_caller.answer.begun())
         (void)m_caller.answer.end();
@@ -83,75 +83,76 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool Attempt::takeHead(const AnswerHead& head)
+bool Attempt::receiveHead(const AnswerHead& head)
 {
     m_status = head.status;
-    m_failure = isFailure(head.status);
-    readSignals(head);
+    m_serverFailed = isFailure(head.status);
+    readServerHeaders(head);
     m_head = head;
-    std::erase_if(m_head.headers, [](const Header& header) { return isPrivate(header.name); });
+    std::erase_if(m_head.headers, [](const Header& header) { return isInternalHeader(header.name); });
     m_head.headers.push_back({std::string(headerRequestId), m_id});
 
-    m_keepBack = m_failure && (head.framing != adapters::http::BodyFraming::Length || head.contentLength <= mostKept);
-    if (!m_keepBack)
+    m_buffering = m_serverFailed &&
+                  (head.framing != adapters::http::BodyFraming::Length || head.contentLength <= maxBufferedAnswer);
+    if (!m_buffering)
         m_caller.answer.begin(m_head);
     return true;
 }
 
 ////////////////////////////////////////////////////////////
-bool Attempt::takeBody(std::string_view data)
+bool Attempt::receiveBody(std::string_view data)
 {
-    if (m_keepBack && m_kept.size() + data.size() <= mostKept)
+    if (m_buffering && m_bufferedBody.size() + data.size() <= maxBufferedAnswer)
     {
-        m_kept.append(data);
+        m_bufferedBody.append(data);
         return true;
     }
-    if (m_keepBack)
+    if (m_buffering)
     {
-        m_keepBack = false;
+        m_buffering = false;
         m_caller.answer.begin(m_head);
-        if (!m_caller.answer.body(m_kept))
+        if (!m_caller.answer.body(m_bufferedBody))
             return false;
     }
     return m_caller.answer.body(data);
 }
 
 ////////////////////////////////////////////////////////////
-void Attempt::readSignals(const AnswerHead& head)
+void Attempt::readServerHeaders(const AnswerHead& head)
 {
     for (const Header& header : head.headers)
     {
         if (sameName(header.name, headerLoad))
-            m_outcome.report = routing::LoadReport{toNumber(header.value, 0U)};
+            m_outcome.report = routing::LoadReport{parseNumber(header.value, 0U)};
         else if (sameName(header.name, headerDraining))
             m_outcome.draining = header.value == "true";
         else if (sameName(header.name, headerRetry))
             m_outcome.retryForbidden = header.value == "never";
         else if (sameName(header.name, headerRan))
-            m_shed = m_failure && header.value == "not-run";
+            m_shed = m_serverFailed && header.value == "not-run";
         else if (sameName(header.name, headerRetryAfterMs))
             m_outcome.comeBack = std::chrono::milliseconds{
-                std::clamp<std::int64_t>(toNumber<std::int64_t>(header.value, 0), 0, longestBackOffMs)};
+                std::clamp<std::int64_t>(parseNumber<std::int64_t>(header.value, 0), 0, maxRetryAfterMs)};
     }
 }
 
 ////////////////////////////////////////////////////////////
-node::Outcome Attempt::judge(ExchangeEnd end)
+node::Outcome Attempt::makeOutcome(ExchangeEnd end)
 {
     node::Outcome outcome = m_outcome;
-    // Nothing of a small answer that was cut has left yet; the caller can be told, or the request sent again.
+    // If a truncated small answer has not been sent yet, the caller can still get an error, or the request a retry.
     const bool    complete = end == ExchangeEnd::Whole;
-    const bool    passedOn = m_caller.answer.begun() && (complete || !m_caller.answer.takeBack());
-    outcome.bodyAtHand = !m_request.stream && !passedOn;
+    const bool    forwarded = m_caller.answer.begun() && (complete || !m_caller.answer.takeBack());
+    outcome.bodyAtHand = !m_request.stream && !forwarded;
     switch (end)
     {
     case ExchangeEnd::Whole:
         outcome.result = AttemptResult::Answered;
-        if (m_failure)
+        if (m_serverFailed)
             outcome.result = m_shed ? AttemptResult::Shed : AttemptResult::Failed;
         break;
     case ExchangeEnd::NotSent:
-        // The body has not been touched yet, so it is at hand even when it streams.
+        // The body has not been read yet, so the body is available for a retry even if streamed.
         outcome.result = AttemptResult::NotSent;
         outcome.bodyAtHand = true;
         break;
--- a/src/sailpath/entry/Attempt.hpp
+++ b/src/sailpath/entry/Attempt.hpp
@@ -11,10 +11,10 @@
 namespace sailpath::entry::priv
 {
 ////////////////////////////////////////////////////////////
-/// \brief One attempt at a server: sends the request, judges the answer, passes it on or keeps it back
+/// \brief One attempt at a server: sends the request, classifies the answer, and streams or buffers the answer
 ///
-/// A good answer streams straight to the caller. An answer that may lead to
-/// a retry is kept back until the dispatcher has decided.
+/// A successful answer is streamed to the caller. An answer that may lead to
+/// a retry is buffered until the dispatcher has decided.
 ////////////////////////////////////////////////////////////
 class Attempt
 {
@@ -23,39 +23,39 @@
     /// \brief Prepare an attempt
     ///
     /// \param caller  The caller's request
-    /// \param request What to send
-    /// \param id      Request id, put on the answer
+    /// \param request Request to send to the server
+    /// \param id      Request id, added to the headers of the answer
     ////////////////////////////////////////////////////////////
     Attempt(adapters::http::CallerRequest& caller, const adapters::http::ServerRequest& request, const std::string& id);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Carry it out
+    /// \brief Run the attempt and classify its result
     ////////////////////////////////////////////////////////////
     [[nodiscard]] node::Outcome run(adapters::http::BackendClient& client, const node::Target& target);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Pass on an answer that was kept back, if there is one
+    /// \brief Send the buffered answer, if any, to the caller and end the answer
     ////////////////////////////////////////////////////////////
-    void passOn();
+    void forwardAnswer();
 
-    [[nodiscard]] int status() const; //!< Status of the answer; 0 when there is none
+    [[nodiscard]] int status() const; //!< HTTP status of the answer; 0 if the server sent none
 
 private:
-    [[nodiscard]] bool          takeHead(const adapters::http::AnswerHead& head);
-    [[nodiscard]] bool          takeBody(std::string_view data);
-    void                        readSignals(const adapters::http::AnswerHead& head);
-    [[nodiscard]] node::Outcome judge(adapters::http::ExchangeEnd end);
-
-    adapters::http::CallerRequest&       m_caller;          //!< The caller's request
-    const adapters::http::ServerRequest& m_request;         //!< What is sent
-    const std::string&                   m_id;              //!< Request id
-    node::Outcome                        m_outcome;         //!< What is known so far
-    adapters::http::AnswerHead           m_head;            //!< Head of the answer
-    std::string                          m_kept;            //!< Body kept back
-    bool                                 m_keepBack{false}; //!< The answer waits for a decision
-    bool                                 m_failure{false};  //!< The status tells of a failure
-    bool                                 m_shed{false};     //!< The server did not run the request
-    int                                  m_status{0};       //!< Status of the answer
+    [[nodiscard]] bool          receiveHead(const adapters::http::AnswerHead& head);
+    [[nodiscard]] bool          receiveBody(std::string_view data);
+    void                        readServerHeaders(const adapters::http::AnswerHead& head);
+    [[nodiscard]] node::Outcome makeOutcome(adapters::http::ExchangeEnd end);
+
+    adapters::http::CallerRequest&       m_caller;              //!< The caller's request
+    const adapters::http::ServerRequest& m_request;             //!< Request to send to the server
+    const std::string&                   m_id;                  //!< Request id
+    node::Outcome                        m_outcome;             //!< Outcome as far as the answer's headers tell
+    adapters::http::AnswerHead           m_head;                //!< Head of the answer to the caller
+    std::string                          m_bufferedBody;        //!< Buffered body
+    bool                                 m_buffering{false};    //!< Whether the answer is buffered until a decision
+    bool                                 m_serverFailed{false}; //!< Whether the status is a server failure
+    bool                                 m_shed{false}; //!< Whether the server shed the request without running it
+    int                                  m_status{0};   //!< HTTP status of the answer; 0 if none
 };
 
 } // namespace sailpath::entry::priv
--- a/src/sailpath/entry/ClaimBatcher.cpp
+++ b/src/sailpath/entry/ClaimBatcher.cpp
@@ -8,16 +8,16 @@
 {
 namespace
 {
-constexpr std::size_t mostInBatch = 100;     // The store's transactions take 128 operations
-constexpr std::size_t mostReleases = 10'000; // Others end with their window
-constexpr auto        downTime = std::chrono::seconds{1};
-constexpr auto        releaseEvery = std::chrono::milliseconds{500};
+constexpr std::size_t maxBatchSize = 100;   // A transaction of the store is limited to 128 operations
+constexpr std::size_t maxReleases = 10'000; // Claims beyond the limit expire with their window
+constexpr auto        unavailablePause = std::chrono::seconds{1};
+constexpr auto        releaseRetryInterval = std::chrono::milliseconds{500};
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-ClaimBatcher::ClaimBatcher(ports::Store& store, std::function<core::Duration()> least) :
-m_least(std::move(least)),
+ClaimBatcher::ClaimBatcher(ports::Store& store, std::function<core::Duration()> minInterval) :
+m_minInterval(std::move(minInterval)),
 m_writer(store, steadyNow),
 m_thread([this] { run(); })
 {
@@ -28,7 +28,7 @@
 {
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        m_ending = true;
+        m_stopping = true;
     }
     m_wake.notify_one();
     m_thread.join();
@@ -38,17 +38,17 @@
 claims::ClaimVerdict ClaimBatcher::claim(const claims::Claim& claim)
 {
     std::unique_lock<std::mutex> lock(m_mutex);
-    if (m_ending || std::chrono::steady_clock::now() < m_downUntil)
+    if (m_stopping || std::chrono::steady_clock::now() < m_unavailableUntil)
         return claims::ClaimVerdict::Unavailable;
-    const auto same = [&](const Waiting* other) { return other->claim->key == claim.key; };
-    if (std::any_of(m_waiting.begin(), m_waiting.end(), same))
+    const auto same = [&](const PendingClaim* other) { return other->claim->key == claim.key; };
+    if (std::any_of(m_pending.begin(), m_pending.end(), same))
         return claims::ClaimVerdict::Duplicate;
 
-    Waiting waiting{&claim};
-    m_waiting.push_back(&waiting);
+    PendingClaim pending{&claim};
+    m_pending.push_back(&pending);
     m_wake.notify_one();
-    m_done.wait(lock, [&waiting] { return waiting.done; });
-    return waiting.verdict;
+    m_done.wait(lock, [&pending] { return pending.done; });
+    return pending.verdict;
 }
 
 ////////////////////////////////////////////////////////////
@@ -62,7 +62,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t ClaimBatcher::unreleased()
+std::size_t ClaimBatcher::pendingReleases()
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     return m_releases.size();
@@ -72,16 +72,16 @@
 void ClaimBatcher::run()
 {
     std::unique_lock<std::mutex> lock(m_mutex);
-    while (!m_ending || !m_waiting.empty())
+    while (!m_stopping || !m_pending.empty())
     {
-        if (m_waiting.empty() && m_releases.empty())
+        if (m_pending.empty() && m_releases.empty())
         {
-            m_wake.wait(lock, [this] { return m_ending || !m_waiting.empty() || !m_releases.empty(); });
+            m_wake.wait(lock, [this] { return m_stopping || !m_pending.empty() || !m_releases.empty(); });
             continue;
         }
-        if (!m_waiting.empty())
+        if (!m_pending.empty())
         {
-            m_wake.wait_until(lock, m_nextCommit, [this] { return m_ending; });
+            m_wake.wait_until(lock, m_nextCommit, [this] { return m_stopping; });
             commitOnce(lock);
         }
         else
@@ -94,20 +94,20 @@
 ////////////////////////////////////////////////////////////
 void ClaimBatcher::commitOnce(std::unique_lock<std::mutex>& lock)
 {
-    const std::size_t           count = std::min(m_waiting.size(), mostInBatch);
-    const std::vector<Waiting*> taken(m_waiting.begin(), m_waiting.begin() + static_cast<std::ptrdiff_t>(count));
-    std::vector<claims::Claim>  batch;
+    const std::size_t                count = std::min(m_pending.size(), maxBatchSize);
+    const std::vector<PendingClaim*> taken(m_pending.begin(), m_pending.begin() + static_cast<std::ptrdiff_t>(count));
+    std::vector<claims::Claim>       batch;
     batch.reserve(count);
-    for (const Waiting* waiting : taken)
-        batch.push_back(*waiting->claim);
+    for (const PendingClaim* pending : taken)
+        batch.push_back(*pending->claim);
 
     lock.unlock();
     const auto                              start = std::chrono::steady_clock::now();
     const std::vector<claims::ClaimVerdict> verdicts = m_writer.commit(batch);
-    const core::Duration                    least = m_least();
+    const core::Duration                    minInterval = m_minInterval();
     lock.lock();
 
-    m_nextCommit = start + least;
+    m_nextCommit = start + minInterval;
     bool anyUnavailable = false;
     for (std::size_t i = 0; i < count; ++i)
     {
@@ -115,13 +115,13 @@
         taken[i]->done = true;
         const bool unresolved = verdicts[i] == claims::ClaimVerdict::Unresolved;
         anyUnavailable = anyUnavailable || unresolved || verdicts[i] == claims::ClaimVerdict::Unavailable;
-        // It may be durable although the request will not be sent, so it is taken back.
-        if (unresolved && m_releases.size() < mostReleases)
+        // An unresolved claim may be durable although its request will not be sent, so the claim is released.
+        if (unresolved && m_releases.size() < maxReleases)
             m_releases.push_back(batch[i]);
     }
-    m_waiting.erase(m_waiting.begin(), m_waiting.begin() + static_cast<std::ptrdiff_t>(count));
+    m_pending.erase(m_pending.begin(), m_pending.begin() + static_cast<std::ptrdiff_t>(count));
     if (anyUnavailable)
-        m_downUntil = std::chrono::steady_clock::now() + downTime;
+        m_unavailableUntil = std::chrono::steady_clock::now() + unavailablePause;
     m_done.notify_all();
 }
 
@@ -135,7 +135,7 @@
     if (released)
         m_releases.pop_front();
     else
-        m_wake.wait_for(lock, releaseEvery, [this] { return m_ending || !m_waiting.empty(); });
+        m_wake.wait_for(lock, releaseRetryInterval, [this] { return m_stopping || !m_pending.empty(); });
 }
 
 } // namespace sailpath::entry
--- a/src/sailpath/entry/Proxy.cpp
+++ b/src/sailpath/entry/Proxy.cpp
@@ -25,10 +25,10 @@
 using node::RefusalReason;
 using node::toString;
 
-constexpr std::size_t    bufferedBody = 64UL * 1024; // Bodies up to this size are read before a server is chosen
-constexpr core::Duration comeBackSoon = std::chrono::seconds{2};
-constexpr std::size_t    longestId = 64;
-constexpr std::uint64_t  longestDeadlineMs = 3'600'000;
+constexpr std::size_t maxBufferedBody = 64UL * 1024; // Bytes; bodies up to this size are read before a server is chosen
+constexpr core::Duration shortRetryDelay = std::chrono::seconds{2};
+constexpr std::size_t    maxRequestIdLength = 64;
+constexpr std::uint64_t  maxDeadlineMs = 3'600'000;
 
 ////////////////////////////////////////////////////////////
 int statusFor(const node::Refusal& refusal)
@@ -52,18 +52,18 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::optional<core::Duration> timeLeft(const RequestHead& head)
+std::optional<core::Duration> parseDeadline(const RequestHead& head)
 {
     const std::string_view value = head.header(headerDeadlineMs);
     std::uint64_t          milliseconds = 0;
     const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), milliseconds);
     if (value.empty() || error != std::errc{} || end != value.data() + value.size())
         return std::nullopt;
-    return std::chrono::milliseconds{std::min(milliseconds, longestDeadlineMs)};
+    return std::chrono::milliseconds{std::min(milliseconds, maxDeadlineMs)};
 }
 
 ////////////////////////////////////////////////////////////
-bool isNotPassedOn(const Header& header, std::string_view connection)
+bool isNotForwarded(const Header& header, std::string_view connection)
 {
     static constexpr std::array<std::string_view, 4> replaced{"Content-Length", "Expect", headerRequestId,
                                                               headerDeadlineMs};
@@ -73,9 +73,9 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief Headers for the server: the caller's, and where the request came from
+/// \brief Make the headers for the server: the caller's headers, the caller's address and the request id
 ////////////////////////////////////////////////////////////
-std::vector<Header> serverHeaders(const CallerRequest& caller, const std::string& id)
+std::vector<Header> makeServerHeaders(const CallerRequest& caller, const std::string& id)
 {
     const RequestHead&     head = caller.head;
     const std::string_view connection = head.header("Connection");
@@ -89,7 +89,7 @@
             forwardedFor += header.value + ", ";
         else if (sameName(header.name, "Forwarded"))
             forwarded += header.value + ", ";
-        else if (!isNotPassedOn(header, connection))
+        else if (!isNotForwarded(header, connection))
             headers.push_back(header);
     }
     const bool v6 = caller.address.find(':') != std::string::npos;
@@ -101,7 +101,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void writeRefusal(CallerRequest& caller, const node::Refusal& refusal, const std::string& id)
+void sendRefusal(CallerRequest& caller, const node::Refusal& refusal, const std::string& id)
 {
     if (caller.answer.begun())
     {
@@ -121,7 +121,7 @@
         head.headers.push_back({"Retry-After", std::to_string((milliseconds + 999) / 1000)});
         head.headers.push_back({std::string(headerRetryAfterMs), std::to_string(milliseconds)});
     }
-    // Retries below have been made as far as the budget allows; a layer above must not multiply them.
+    // Retries have been made as far as the budget allows; a proxy or client above must not multiply the retries.
     if (refusal.reason == RefusalReason::OutcomeUnknown || refusal.reason == RefusalReason::NotSent)
         head.headers.push_back({std::string(headerRetry), "never"});
 
@@ -136,7 +136,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief Read a small body ahead, so that a slow caller holds no server and a retry is possible
+/// \brief Read a small body completely, so that a slow caller occupies no server and a retry is possible
 ////////////////////////////////////////////////////////////
 bool readSmallBody(CallerRequest& caller, std::string& body)
 {
@@ -152,13 +152,13 @@
 ////////////////////////////////////////////////////////////
 bool isSmallBody(const RequestHead& head)
 {
-    return head.framing == BodyFraming::Length && head.contentLength <= bufferedBody;
+    return head.framing == BodyFraming::Length && head.contentLength <= maxBufferedBody;
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief The outcome of an attempt that is not made
+/// \brief Make the outcome of an attempt that was abandoned before sending
 ////////////////////////////////////////////////////////////
-node::Outcome abandoned()
+node::Outcome abandonedOutcome()
 {
     node::Outcome outcome;
     outcome.result = retries::AttemptResult::Abandoned;
@@ -169,15 +169,15 @@
 } // namespace
 
 ////////////////////////////////////////////////////////////
-Proxy::Proxy(std::string node, SharedDispatcher& door, adapters::http::BackendClient& client, ClaimBatcher& claims,
-             metrics::TrafficMetrics& metrics, ports::EventLog& log) :
+Proxy::Proxy(std::string node, SharedDispatcher& dispatcher, adapters::http::BackendClient& client,
+             ClaimBatcher& claims, metrics::TrafficMetrics& metrics, ports::EventLog& log) :
 m_node(std::move(node)),
-m_door(door),
+m_dispatcher(dispatcher),
 m_client(client),
 m_claims(claims),
 m_metrics(metrics),
 m_log(log),
-m_start(std::chrono::system_clock::now().time_since_epoch().count())
+m_processStart(std::chrono::system_clock::now().time_since_epoch().count())
 {
 }
 
@@ -210,12 +210,12 @@
     if (request.framing != BodyFraming::None && !isSmallBody(caller.head))
         request.stream = caller.body;
 
-    node::Step step =
-        m_door.admit({caller.head.header("Host"), caller.head.method, caller.head.path, timeLeft(caller.head)},
-                     [&caller] { return caller.cancellation.cancelled(); });
+    node::Step step = m_dispatcher.admit(
+        {caller.head.header("Host"), caller.head.method, caller.head.path, parseDeadline(caller.head)},
+        [&caller] { return caller.cancellation.cancelled(); });
     const std::string_view outcome =
         step.verdict == node::Verdict::Refuse ? refuse(caller, step.refusal, id) : forward(caller, request, step, id);
-    // Names that callers make up must not become metrics.
+    // Host names invented by callers must not become metric labels.
     const bool known =
         host && outcome != toString(RefusalReason::UnknownService) && outcome != toString(RefusalReason::NotConfigured);
     m_metrics.record(known ? host->workspace : std::string_view{}, outcome, steadyNow() - start);
@@ -227,28 +227,28 @@
     std::optional<HeldClaim> held;
     if (const auto refusal = claim(caller.head, step, id, held))
     {
-        (void)m_door.finish(step.ticket, abandoned());
+        (void)m_dispatcher.finish(step.ticket, abandonedOutcome());
         return refuse(caller, *refusal, id);
     }
     while (true)
     {
-        // A process that was paused may hold a claim that another has made anew since.
-        if (held && steadyNow() >= held->until)
+        // While this process was paused, the claim may have expired and been granted to another request.
+        if (held && steadyNow() >= held->sendBefore)
         {
-            (void)m_door.finish(step.ticket, abandoned());
-            return refuse(caller, {RefusalReason::ClaimsUnavailable, retries::Ran::No, comeBackSoon}, id);
+            (void)m_dispatcher.finish(step.ticket, abandonedOutcome());
+            return refuse(caller, {RefusalReason::ClaimsUnavailable, retries::Ran::No, shortRetryDelay}, id);
         }
         priv::Attempt       attempt(caller, request, id);
         const node::Outcome result = runAttempt(caller, request, step, id, attempt);
-        step = m_door.finish(step.ticket, result);
+        step = m_dispatcher.finish(step.ticket, result);
         if (step.verdict == node::Verdict::Answer)
         {
-            attempt.passOn();
+            attempt.forwardAnswer();
             return "answered";
         }
         if (step.verdict == node::Verdict::Refuse)
         {
-            // What certainly did not run may come again under the same key.
+            // A request that certainly did not run may be retried with the same key.
             if (held && step.refusal.ran == retries::Ran::No)
                 m_claims.release(held->claim);
             return refuse(caller, step.refusal, id);
@@ -262,7 +262,7 @@
 {
     const std::string attemptId = id + "." + std::to_string(step.attempt);
     const auto        left = std::chrono::ceil<std::chrono::milliseconds>(step.deadline - steadyNow()).count();
-    request.headers = serverHeaders(caller, attemptId);
+    request.headers = makeServerHeaders(caller, attemptId);
     request.headers.push_back({std::string(headerDeadlineMs), std::to_string(std::max<std::int64_t>(left, 1))});
     request.deadline = toSteady(step.deadline);
     request.provenConnection = !step.repeatable;
@@ -280,7 +280,7 @@
 ////////////////////////////////////////////////////////////
 std::string_view Proxy::refuse(CallerRequest& caller, const node::Refusal& refusal, const std::string& id)
 {
-    writeRefusal(caller, refusal, id);
+    sendRefusal(caller, refusal, id);
     if (m_log.writes(ports::Level::Debug))
         m_log.write(ports::Level::Debug, "request-refused",
                     {{"request", id}, {"reason", toString(refusal.reason)}, {"ran", toString(refusal.ran)}});
@@ -297,10 +297,10 @@
     const node::Target& target = *step.target;
     HeldClaim           claimed;
     claimed.claim.key = claims::claimKey(target.workspace, target.service, key);
-    claimed.claim.token = m_node + "/" + std::to_string(m_start) + "/" + std::to_string(m_nextClaim++);
+    claimed.claim.token = m_node + "/" + std::to_string(m_processStart) + "/" + std::to_string(m_nextClaim++);
     claimed.claim.window = target.claimWindow;
-    // Counted from before the claim is made, with a tenth kept back for clocks that run unevenly.
-    claimed.until = steadyNow() + target.claimWindow * 9 / 10;
+    // Measured from before the claim is committed; a tenth of the window is a margin for clock drift.
+    claimed.sendBefore = steadyNow() + target.claimWindow * 9 / 10;
     switch (m_claims.claim(claimed.claim))
     {
     case claims::ClaimVerdict::Granted:
@@ -308,19 +308,19 @@
         return std::nullopt;
     case claims::ClaimVerdict::Duplicate:
         m_log.write(ports::Level::Info, "duplicate-refused", {{"request", id}, {"workspace", target.workspace}});
-        return node::Refusal{RefusalReason::Duplicate, retries::Ran::Unknown, comeBackSoon};
+        return node::Refusal{RefusalReason::Duplicate, retries::Ran::Unknown, shortRetryDelay};
     case claims::ClaimVerdict::Unavailable:
     case claims::ClaimVerdict::Unresolved:
         break;
     }
-    return node::Refusal{RefusalReason::ClaimsUnavailable, retries::Ran::No, comeBackSoon};
+    return node::Refusal{RefusalReason::ClaimsUnavailable, retries::Ran::No, shortRetryDelay};
 }
 
 ////////////////////////////////////////////////////////////
 std::string Proxy::requestId(const RequestHead& head)
 {
     const std::string_view given = head.header(headerRequestId);
-    const bool             usable = !given.empty() && given.size() <= longestId &&
+    const bool             usable = !given.empty() && given.size() <= maxRequestIdLength &&
                         std::all_of(given.begin(), given.end(),
                                     [](unsigned char c) { return std::isalnum(c) != 0 || c == '-' || c == '.'; });
     if (usable)
--- a/src/sailpath/entry/SharedDispatcher.cpp
+++ b/src/sailpath/entry/SharedDispatcher.cpp
@@ -8,7 +8,7 @@
 {
 namespace
 {
-constexpr auto askCancelledEvery = std::chrono::milliseconds{20};
+constexpr auto cancellationPollInterval = std::chrono::milliseconds{20};
 
 } // namespace
 
@@ -25,7 +25,7 @@
     node::Step                   step = m_dispatcher.admit(request, steadyNow());
     if (step.verdict == node::Verdict::Hold)
         return wait(step.ticket, lock, cancelled);
-    deliver();
+    deliverSteps();
     return step;
 }
 
@@ -34,7 +34,7 @@
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     node::Step                        step = m_dispatcher.finish(ticket, outcome, steadyNow());
-    deliver();
+    deliverSteps();
     return step;
 }
 
@@ -43,7 +43,7 @@
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
     m_dispatcher.tick(steadyNow());
-    deliver();
+    deliverSteps();
 }
 
 ////////////////////////////////////////////////////////////
@@ -54,10 +54,10 @@
     if (m_waiters.size() <= ticket)
         m_waiters.resize(ticket + 1, nullptr);
     m_waiters[ticket] = &waiter;
-    deliver();
+    deliverSteps();
     while (!waiter.step)
     {
-        waiter.wake.wait_for(lock, askCancelledEvery);
+        waiter.wake.wait_for(lock, cancellationPollInterval);
         if (!waiter.step && cancelled() && m_dispatcher.cancelHeld(ticket, steadyNow()))
         {
             waiter.step.emplace();
@@ -69,13 +69,13 @@
 }
 
 ////////////////////////////////////////////////////////////
-void SharedDispatcher::deliver()
+void SharedDispatcher::deliverSteps()
 {
     m_dispatcher.takeReleased(m_released);
     for (const node::Step& step : m_released)
     {
-        // A refused ticket may be given to another request before this waiter wakes,
-        // so its place is cleared here and not by the waiter.
+        // A refused ticket may be reused for another request before this waiter wakes,
+        // so the waiter's entry is cleared here and not by the waiter.
         Waiter& waiter = *std::exchange(m_waiters[step.ticket], nullptr);
         waiter.step = step;
         waiter.wake.notify_one();
--- a/test/entry/Proxy.test.cpp
+++ b/test/entry/Proxy.test.cpp
@@ -22,7 +22,7 @@
 using standins::BackendStandIn;
 
 ////////////////////////////////////////////////////////////
-class SilentLog : public ports::EventLog
+class NullLog : public ports::EventLog
 {
 public:
     [[nodiscard]] bool writes(ports::Level) const override
@@ -36,7 +36,7 @@
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief An entry in this process, in front of backend stand-ins
+/// \brief Ingress and proxy in the test process, in front of simulated backend servers
 ////////////////////////////////////////////////////////////
 struct Fixture
 {
@@ -51,25 +51,25 @@
         ticker = std::thread(
             [this]
             {
-                while (!ending)
+                while (!stopping)
                 {
                     std::this_thread::sleep_for(2ms);
-                    door.tick();
+                    sharedDispatcher.tick();
                 }
             });
     }
 
     ~Fixture()
     {
-        ending = true;
+        stopping = true;
         ticker.join();
         ingress.reset();
     }
 
     ////////////////////////////////////////////////////////////
-    /// \brief Put servers in force for the host `portal.admissa`
+    /// \brief Configure servers for the host `portal.admissa`
     ////////////////////////////////////////////////////////////
-    void serve(const std::vector<std::uint16_t>& ports)
+    void configureServers(const std::vector<std::uint16_t>& ports)
     {
         config::Service service;
         service.name = "portal";
@@ -77,7 +77,7 @@
         service.retry.budget = 1;
         for (const std::uint16_t port : ports)
             service.servers.push_back({"s" + std::to_string(port), "127.0.0.1", port, "", 3, 200});
-        door.with(
+        sharedDispatcher.with(
             [&](node::Dispatcher& dispatcher) {
                 dispatcher.configure({"admissa", 0, {service}}, entry::steadyNow());
             });
@@ -94,9 +94,9 @@
     }
 
     ////////////////////////////////////////////////////////////
-    /// \brief Send raw bytes and read until the connection closes or falls silent
+    /// \brief Send raw bytes and read until the connection closes or is idle for `silence`
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] std::string raw(const std::string& bytes, core::Duration silence = 2s) const
+    [[nodiscard]] std::string sendRaw(const std::string& bytes, core::Duration silence = 2s) const
     {
         const TcpSocket socket = TcpSocket::connect("127.0.0.1", ingress->port(), 1s);
         (void)socket.write(bytes, 1s);
@@ -108,22 +108,22 @@
         return answer;
     }
 
-    SilentLog                              log;
-    entry::SharedDispatcher                door{{}};
+    NullLog                                log;
+    entry::SharedDispatcher                sharedDispatcher{{}};
     adapters::http::BackendClient          backend{200ms, 5s};
     metrics::TrafficMetrics                metrics;
     support::FakeStore                     store;
     entry::ClaimBatcher                    claims{store, [] { return core::Duration{0}; }};
-    entry::Proxy                           proxy{"vm-1", door, backend, claims, metrics, log};
+    entry::Proxy                           proxy{"vm-1", sharedDispatcher, backend, claims, metrics, log};
     std::optional<adapters::http::Ingress> ingress;
-    std::atomic<bool>                      ending{false};
+    std::atomic<bool>                      stopping{false};
     std::thread                            ticker;
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Peak resident memory of this process in kilobytes
+/// \brief Get the peak resident memory of this process in kilobytes
 ////////////////////////////////////////////////////////////
-long peakMemory()
+long peakMemoryKilobytes()
 {
     std::ifstream status("/proc/self/status");
     for (std::string line; std::getline(status, line);)
@@ -139,10 +139,10 @@
 BOOST_FIXTURE_TEST_SUITE(Proxy, Fixture)
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(anAnswerComesThroughWithItsRequestId)
+BOOST_AUTO_TEST_CASE(answersAreForwardedWithTheirRequestId)
 {
     const BackendStandIn server("s", 0, {});
-    serve({server.port()});
+    configureServers({server.port()});
     const auto answer =
         client().Get("/status/7?q=%20x", {{"X-Request-Id", "mine-1"}, {"Connection", "x-private"}, {"X-Private", "1"}});
     BOOST_REQUIRE(answer);
@@ -157,10 +157,10 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(allMethodsAndBodiesComeThrough)
+BOOST_AUTO_TEST_CASE(allMethodsAndBodiesAreForwarded)
 {
     const BackendStandIn server("s", 0, {});
-    serve({server.port()});
+    configureServers({server.port()});
     auto              http = client();
     const std::string large(300'000, 'x');
     BOOST_TEST(http.Post("/a", large, "application/octet-stream")->body.find("\"received\":300000") !=
@@ -172,17 +172,17 @@
     BOOST_TEST(http.Head("/a")->status == 200);
     BOOST_TEST(http.Post("/a")->status == 200);
     const auto chunked =
-        raw("POST /c HTTP/1.1\r\nHost: portal.admissa\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
-            "5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n");
+        sendRaw("POST /c HTTP/1.1\r\nHost: portal.admissa\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\n"
+                "5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n");
     BOOST_TEST(chunked.find("\"received\":11") != std::string::npos);
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aBodyIsNotChangedOnItsWay)
+BOOST_AUTO_TEST_CASE(bodiesAreForwardedUnchanged)
 {
     const BackendStandIn server("s", 0, {});
-    serve({server.port()});
-    // The server undoes the coding; if the entry had done so before, it would fail.
+    configureServers({server.port()});
+    // The server decodes the body; decoding fails if the proxy has already decoded the body.
     auto http = client();
     http.set_compress(true);
     const auto answer = http.Post("/a", {{"X-Value", "50%25"}}, std::string(700'000, 'z'), "text/plain");
@@ -192,16 +192,16 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aCutAnswerNeverLooksWhole)
+BOOST_AUTO_TEST_CASE(truncatedAnswersAreNeverReportedAsComplete)
 {
     const BackendStandIn server("s", 0, {.work = 100us, .cutAnswer = true});
-    serve({server.port()});
+    configureServers({server.port()});
     for (const bool chunked : {false, true})
     {
         const BackendStandIn cutting("s", 0,
                                      {.work = 100us, .cutAnswer = true, .bodyBytes = 200'000, .chunked = chunked});
-        serve({cutting.port()});
-        const std::string answer = raw("GET /a HTTP/1.1\r\nHost: portal.admissa\r\n\r\n");
+        configureServers({cutting.port()});
+        const std::string answer = sendRaw("GET /a HTTP/1.1\r\nHost: portal.admissa\r\n\r\n");
         BOOST_TEST(!answer.ends_with("0\r\n\r\n"));
         BOOST_TEST(answer.size() < 200'000U);
         const auto parsed = client().Get("/a");
@@ -210,11 +210,11 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aLostAnswerIsUnknownAndTheRequestRanOnce)
+BOOST_AUTO_TEST_CASE(lostAnswersAreReportedAsUnknownAndNotRetried)
 {
     const BackendStandIn first("s", 0, {.work = 100us, .dropAnswer = true});
     const BackendStandIn second("s", 0, {.work = 100us, .dropAnswer = true});
-    serve({first.port(), second.port()});
+    configureServers({first.port(), second.port()});
     auto http = client();
     for (int i = 0; i < 10; ++i)
     {
@@ -229,14 +229,14 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(whatNeverLeftIsRefusedAsNotRun)
+BOOST_AUTO_TEST_CASE(unsentRequestsAreRefusedAsNotRun)
 {
     std::uint16_t port = 0;
     {
         const BackendStandIn gone("s", 0, {});
         port = gone.port();
     }
-    serve({port});
+    configureServers({port});
     const auto answer = client().Post("/fees", "{}", "application/json");
     BOOST_REQUIRE(answer);
     BOOST_TEST(answer->get_header_value("Sailpath-Ran") == "not-run");
@@ -244,21 +244,21 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aFailingServerIsCoveredByARetry)
+BOOST_AUTO_TEST_CASE(failuresOfOneServerAreRetriedOnAnother)
 {
     const BackendStandIn bad("s", 0, {.reject = true});
     const BackendStandIn good("s", 0, {.work = 100us});
-    serve({bad.port(), good.port()});
+    configureServers({bad.port(), good.port()});
     auto http = client();
     for (int i = 0; i < 40; ++i)
         BOOST_TEST(http.Get("/a")->status == 200);
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aSilentServerIsGivenUpAtTheDeadline)
+BOOST_AUTO_TEST_CASE(unresponsiveServersTimeOutAtTheDeadline)
 {
     const BackendStandIn slow("s", 0, {.work = 3s});
-    serve({slow.port()});
+    configureServers({slow.port()});
     const auto start = std::chrono::steady_clock::now();
     const auto answer = client().Get("/a", {{"Sailpath-Deadline-Ms", "200"}});
     BOOST_REQUIRE(answer);
@@ -267,10 +267,10 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aHangUpReachesTheServer)
+BOOST_AUTO_TEST_CASE(callerDisconnectCancelsTheServerRequest)
 {
     const BackendStandIn server("s", 0, {.work = 100us, .bodyBytes = 4'000'000'000, .chunked = true});
-    serve({server.port()});
+    configureServers({server.port()});
     {
         const TcpSocket socket = TcpSocket::connect("127.0.0.1", ingress->port(), 1s);
         (void)socket.write(std::string("GET /a HTTP/1.1\r\nHost: portal.admissa\r\n\r\n"), 1s);
@@ -283,10 +283,10 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aCallerThatHangsUpWhileItsAnswerIsAwaitedIsNoticed)
+BOOST_AUTO_TEST_CASE(callerDisconnectIsDetectedWhileWaitingForTheServer)
 {
     const BackendStandIn server("s", 0, {.work = 1s});
-    serve({server.port()});
+    configureServers({server.port()});
     {
         const TcpSocket socket = TcpSocket::connect("127.0.0.1", ingress->port(), 1s);
         (void)socket.write(std::string("GET /a HTTP/1.1\r\nHost: portal.admissa\r\n\r\n"), 1s);
@@ -299,13 +299,13 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(largeAnswersStreamInBoundedMemory)
+BOOST_AUTO_TEST_CASE(largeAnswersAreStreamedInBoundedMemory)
 {
     constexpr std::uint64_t size = 200'000'000;
     const BackendStandIn    server("s", 0, {.work = 100us, .bodyBytes = size});
-    serve({server.port()});
+    configureServers({server.port()});
     (void)client().Get("/warm", [](const char*, std::size_t) { return false; });
-    const long    before = peakMemory();
+    const long    before = peakMemoryKilobytes();
     std::uint64_t received = 0;
     const auto    answer = client().Get("/a",
                                         [&](const char*, std::size_t length)
@@ -315,22 +315,22 @@
                                      });
     BOOST_REQUIRE(answer);
     BOOST_TEST(received == size);
-    BOOST_TEST(peakMemory() - before < 16'000);
+    BOOST_TEST(peakMemoryKilobytes() - before < 16'000);
 }
 
 ////////////////////////////////////////////////////////////
 BOOST_AUTO_TEST_CASE(malformedRequestsAreRefusedAndTheConnectionClosed)
 {
     const BackendStandIn server("s", 0, {});
-    serve({server.port()});
+    configureServers({server.port()});
     const std::string smuggled =
-        raw("POST /a HTTP/1.1\r\nHost: portal.admissa\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
-            "0\r\n\r\nGET /b HTTP/1.1\r\nHost: portal.admissa\r\n\r\n");
+        sendRaw("POST /a HTTP/1.1\r\nHost: portal.admissa\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
+                "0\r\n\r\nGET /b HTTP/1.1\r\nHost: portal.admissa\r\n\r\n");
     BOOST_TEST(smuggled.find("HTTP/1.1 400") == 0U);
     BOOST_TEST(smuggled.find("HTTP/1.1", 1) == std::string::npos);
-    BOOST_TEST(raw("GET /" + std::string(40'000, 'a')).find("HTTP/1.1 431") == 0U);
-    BOOST_TEST(raw("GET /a HTT").find("HTTP/1.1 408") == 0U);
-    BOOST_TEST(raw("GET /a HTTP/1.1\r\nHost: other.place\r\nConnection: close\r\n\r\n").find("HTTP/1.1 404") == 0U);
+    BOOST_TEST(sendRaw("GET /" + std::string(40'000, 'a')).find("HTTP/1.1 431") == 0U);
+    BOOST_TEST(sendRaw("GET /a HTT").find("HTTP/1.1 408") == 0U);
+    BOOST_TEST(sendRaw("GET /a HTTP/1.1\r\nHost: other.place\r\nConnection: close\r\n\r\n").find("HTTP/1.1 404") == 0U);
     BOOST_TEST(server.executions() == 0U);
 }
 
@@ -338,12 +338,12 @@
 BOOST_AUTO_TEST_CASE(pipelinedRequestsGetTheirOwnAnswersInOrder)
 {
     const BackendStandIn server("s", 0, {.work = 100us});
-    serve({server.port()});
+    configureServers({server.port()});
     std::string requests;
     for (int i = 0; i < 20; ++i)
         requests += "GET /n/" + std::to_string(i) + " HTTP/1.1\r\nHost: portal.admissa\r\n" +
                     (i == 19 ? "Connection: close\r\n" : "") + "\r\n";
-    const std::string answers = raw(requests);
+    const std::string answers = sendRaw(requests);
     std::size_t       position = 0;
     for (int i = 0; i < 20; ++i)
     {
@@ -353,10 +353,10 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aFullEntryRefusesAtOnce)
+BOOST_AUTO_TEST_CASE(requestsBeyondCapacityAreRefusedAsNotRun)
 {
     const BackendStandIn server("s", 0, {.work = 2s, .slots = 100});
-    serve({server.port()});
+    configureServers({server.port()});
     std::vector<std::thread> callers;
     std::atomic<int>         refused{0};
     std::atomic<int>         withTime{0};
@@ -381,10 +381,10 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aPlannedStopCutsNothing)
+BOOST_AUTO_TEST_CASE(plannedStopCompletesRequestsInFlight)
 {
     const BackendStandIn server("s", 0, {.work = 300ms, .slots = 20});
-    serve({server.port()});
+    configureServers({server.port()});
     std::atomic<int>         answered{0};
     std::vector<std::thread> callers;
     callers.reserve(10);
@@ -407,10 +407,10 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(copiesOfAKeyedRequestRunOnce)
+BOOST_AUTO_TEST_CASE(duplicatesOfAKeyedRequestRunOnce)
 {
     const BackendStandIn server("s", 0, {.work = 20ms, .slots = 50});
-    serve({server.port()});
+    configureServers({server.port()});
     std::atomic<int>         answered{0};
     std::atomic<int>         duplicates{0};
     std::vector<std::thread> callers;
@@ -437,7 +437,7 @@
 BOOST_AUTO_TEST_CASE(withoutTheStoreKeyedRequestsAreRefusedAsNotRun)
 {
     const BackendStandIn server("s", 0, {.work = 100us});
-    serve({server.port()});
+    configureServers({server.port()});
     auto http = client();
     store.faults = {support::WriteFault::LostAnswer};
     BOOST_TEST(http.Post("/fees", {{"Idempotency-Key", "a"}}, "{}", "text/plain")->status == 200);
@@ -451,29 +451,29 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(whatDidNotRunMayComeAgainUnderItsKey)
+BOOST_AUTO_TEST_CASE(requestsThatDidNotRunMayReuseTheirKey)
 {
     std::uint16_t port = 0;
     {
         const BackendStandIn gone("s", 0, {});
         port = gone.port();
     }
-    serve({port});
+    configureServers({port});
     auto http = client();
     for (int i = 0; i < 2; ++i)
     {
         const auto answer = http.Post("/fees", {{"Idempotency-Key", "a"}}, "{}", "text/plain");
         BOOST_TEST(answer->get_header_value("Sailpath-Ran") == "not-run");
-        for (int wait = 0; wait < 500 && claims.unreleased() > 0; ++wait)
+        for (int wait = 0; wait < 500 && claims.pendingReleases() > 0; ++wait)
             std::this_thread::sleep_for(2ms);
     }
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aFailureThatIsPassedOnForbidsRetriesAbove)
+BOOST_AUTO_TEST_CASE(forwardedFailuresForbidRetriesByTheCaller)
 {
     const BackendStandIn bad("s", 0, {.reject = true});
-    serve({bad.port()});
+    configureServers({bad.port()});
     const auto answer = client().Get("/a");
     BOOST_REQUIRE(answer);
     BOOST_TEST(answer->status == 500);
@@ -481,10 +481,10 @@
 }
 
 ////////////////////////////////////////////////////////////
-BOOST_AUTO_TEST_CASE(aCallerThatDribblesItsBodyIsGivenUp)
+BOOST_AUTO_TEST_CASE(callersThatSendTheirBodyTooSlowlyAreDisconnected)
 {
     const BackendStandIn server("s", 0, {});
-    serve({server.port()});
+    configureServers({server.port()});
     const TcpSocket socket = TcpSocket::connect("127.0.0.1", ingress->port(), 1s);
     (void)socket.write(std::string("POST /a HTTP/1.1\r\nHost: portal.admissa\r\nContent-Length: 60000\r\n\r\n"), 1s);
     int bytes = 0;
@@ -494,7 +494,7 @@
         std::this_thread::sleep_for(50ms);
     }
     BOOST_TEST(bytes < 200);
-    // The place is given back although the caller goes on sending.
+    // The slot of the request is released although the caller continues to send.
     for (int i = 0; i < 100 && ingress->counters().serving > 0; ++i)
     {
         (void)socket.write(std::string("x"), 1s);
