--- a/include/sailpath/entry/ClaimBatcher.hpp
+++ b/include/sailpath/entry/ClaimBatcher.hpp
@@ -26,7 +26,7 @@
     /// \brief Start the writer's thread
     ///
     /// \param store       The store; used by the writer's thread only
-    /// \param minInterval Returns the minimum interval between two commits, which keeps the fleet within the store's rate
+    /// \param minInterval Returns the minimum interval between commits, so that the fleet keeps to the store's rate
     ////////////////////////////////////////////////////////////
     ClaimBatcher(ports::Store& store, std::function<core::Duration()> minInterval);
 
@@ -61,17 +61,17 @@
     void commitOnce(std::unique_lock<std::mutex>& lock);
     void releaseOnce(std::unique_lock<std::mutex>& lock);
 
-    std::function<core::Duration()>       m_minInterval;        //!< Returns the minimum interval between commits
-    claims::ClaimWriter                   m_writer;             //!< Writes to the store; used by `m_thread` only
-    std::mutex                            m_mutex;              //!< Guards the members below, except the thread
-    std::condition_variable               m_wake;               //!< Signals new work or the stop
-    std::condition_variable               m_done;               //!< Signals new verdicts
-    std::deque<PendingClaim*>             m_pending;            //!< Claims without a verdict
-    std::deque<claims::Claim>             m_releases;           //!< Claims to release
-    bool                                  m_stopping{false};    //!< Set when the thread must end
-    std::chrono::steady_clock::time_point m_nextCommit{};       //!< Earliest time of the next commit
-    std::chrono::steady_clock::time_point m_unavailableUntil{}; //!< Claims fail at once until then: the store failed
-    std::thread                           m_thread;             //!< Commits and releases claims
+    std::function<core::Duration()>       m_minInterval;   //!< Returns the minimum interval between commits
+    claims::ClaimWriter                   m_writer;        //!< Writes to the store; used by `m_thread` only
+    std::mutex                            m_mutex;         //!< Guards the members below, except the thread
+    std::condition_variable               m_wake;          //!< Signals new work or the stop
+    std::condition_variable               m_done;          //!< Signals new verdicts
+    std::deque<PendingClaim*>             m_pending;       //!< Claims without a verdict
+    std::deque<claims::Claim>             m_releases;      //!< Claims to release
+    bool                                  m_ending{false}; //!< Set when the thread must end
+    std::chrono::steady_clock::time_point m_nextCommit{};  //!< Earliest time of the next commit
+    std::chrono::steady_clock::time_point m_pausedUntil{}; //!< Claims are refused until this time after a store failure
+    std::thread                           m_thread;        //!< Commits and releases claims
 };
 
 } // namespace sailpath::entry
--- a/src/sailpath/entry/ClaimBatcher.cpp
+++ b/src/sailpath/entry/ClaimBatcher.cpp
@@ -28,7 +28,7 @@
 {
     {
         const std::lock_guard<std::mutex> lock(m_mutex);
-        m_stopping = true;
+        m_ending = true;
     }
     m_wake.notify_one();
     m_thread.join();
@@ -38,7 +38,7 @@
 claims::ClaimVerdict ClaimBatcher::claim(const claims::Claim& claim)
 {
     std::unique_lock<std::mutex> lock(m_mutex);
-    if (m_stopping || std::chrono::steady_clock::now() < m_unavailableUntil)
+    if (m_ending || std::chrono::steady_clock::now() < m_pausedUntil)
         return claims::ClaimVerdict::Unavailable;
     const auto same = [&](const PendingClaim* other) { return other->claim->key == claim.key; };
     if (std::any_of(m_pending.begin(), m_pending.end(), same))
@@ -72,16 +72,16 @@
 void ClaimBatcher::run()
 {
     std::unique_lock<std::mutex> lock(m_mutex);
-    while (!m_stopping || !m_pending.empty())
+    while (!m_ending || !m_pending.empty())
     {
         if (m_pending.empty() && m_releases.empty())
         {
-            m_wake.wait(lock, [this] { return m_stopping || !m_pending.empty() || !m_releases.empty(); });
+            m_wake.wait(lock, [this] { return m_ending || !m_pending.empty() || !m_releases.empty(); });
             continue;
         }
         if (!m_pending.empty())
         {
-            m_wake.wait_until(lock, m_nextCommit, [this] { return m_stopping; });
+            m_wake.wait_until(lock, m_nextCommit, [this] { return m_ending; });
             commitOnce(lock);
         }
         else
@@ -121,7 +121,7 @@
     }
     m_pending.erase(m_pending.begin(), m_pending.begin() + static_cast<std::ptrdiff_t>(count));
     if (anyUnavailable)
-        m_unavailableUntil = std::chrono::steady_clock::now() + unavailablePause;
+        m_pausedUntil = std::chrono::steady_clock::now() + unavailablePause;
     m_done.notify_all();
 }
 
@@ -135,7 +135,7 @@
     if (released)
         m_releases.pop_front();
     else
-        m_wake.wait_for(lock, releaseRetryInterval, [this] { return m_stopping || !m_pending.empty(); });
+        m_wake.wait_for(lock, releaseRetryInterval, [this] { return m_ending || !m_pending.empty(); });
 }
 
 } // namespace sailpath::entry
