--- a/test/platform/Platform.test.cpp
+++ b/test/platform/Platform.test.cpp
@@ -34,7 +34,7 @@
  "Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":67108864,"HeaderTimeoutS":3,"IdleTimeoutS":15}})";
 
 ////////////////////////////////////////////////////////////
-class QuietLog : public ports::EventLog
+class NullLog : public ports::EventLog
 {
 public:
     [[nodiscard]] bool writes(ports::Level) const override
@@ -48,9 +48,9 @@
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Make one call and run the loop until its answer
+/// \brief Makes calls to a store stand-in with pages of 3 items, and runs the event loop until each result
 ////////////////////////////////////////////////////////////
-struct Caller
+struct SourceFixture
 {
     ReadResult read(replication::ReadMode how = replication::ReadMode::Latest)
     {
@@ -65,14 +65,14 @@
     template <typename Call>
     ReadResult run(Call call)
     {
-        std::optional<ReadResult> got;
-        call([&](ReadResult answer) { got = std::move(answer); });
+        std::optional<ReadResult> result;
+        call([&](ReadResult answer) { result = std::move(answer); });
         context.restart();
-        while (!got && context.run_one() > 0)
+        while (!result && context.run_one() > 0)
         {
         }
-        BOOST_REQUIRE(got);
-        return *got;
+        BOOST_REQUIRE(result);
+        return *result;
     }
 
     StoreStandIn       store{3};
@@ -81,9 +81,12 @@
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief A server's entry with all its fields
+/// \brief Returns a server's entry with all required fields
+///
+/// \param more Further fields in JSON, each with a leading comma
 ////////////////////////////////////////////////////////////
-std::string entryOf(const std::string& address, const std::string& state, int sequence, const std::string& more = {})
+std::string serverEntry(const std::string& address, const std::string& state, int sequence,
+                        const std::string& more = {})
 {
     return R"({"Service":"s1","Address":")" + address +
            R"(","Zone":"z","Version":"v1","Slots":3,"WarmupLeftS":0,"State":")" + state + R"(","Seq":)" +
@@ -91,16 +94,16 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief A fleet thread before a stand-in of the store, and what it told last
+/// \brief Runs a fleet thread on a store stand-in and records the declared states that the thread publishes
 ////////////////////////////////////////////////////////////
-struct Watched
+struct FleetFixture
 {
     static std::string entry(const std::string& state, int sequence)
     {
-        return entryOf("10.1.2.3:80", state, sequence);
+        return serverEntry("10.1.2.3:80", state, sequence);
     }
 
-    static fleet::FleetSettings settingsOf()
+    static fleet::FleetSettings fleetSettings()
     {
         fleet::FleetSettings settings;
         settings.listen = {"127.0.0.1", 0};
@@ -110,15 +113,15 @@
         return settings;
     }
 
-    /// \brief Wait until what was told last is as wanted
-    bool reaches(const std::function<bool(const deployment::Declared&)>& condition)
+    /// \brief Waits at most 10 s until the last published state meets a condition
+    bool waitUntil(const std::function<bool(const deployment::Declared&)>& condition)
     {
         std::unique_lock<std::mutex> lock(mutex);
         return changed.wait_for(lock, 10s, [&] { return condition(last); });
     }
 
-    /// \brief Whether an instance takes requests, by what was told last
-    static bool takes(const deployment::Declared& declared, const std::string& id)
+    /// \brief Returns whether a declared state has an instance that is not draining
+    static bool isAvailable(const deployment::Declared& declared, const std::string& id)
     {
         return std::any_of(declared.instances.begin(), declared.instances.end(),
                            [&](const deployment::Instance& instance)
@@ -127,13 +130,13 @@
 
     StoreStandIn                      store;
     platform::JsonTranslator          translator;
-    QuietLog                          log;
+    NullLog                           log;
     std::mutex                        mutex;
     deployment::Declared              last;
     std::vector<deployment::Declared> all;
     std::condition_variable           changed;
     fleet::FleetThread                thread{
-        settingsOf(),
+        fleetSettings(),
         [this](asio::io_context& loop) {
             return std::make_unique<platform::KvSource>(loop, adapters::settings::Endpoint{"127.0.0.1", store.port()});
         },
@@ -169,7 +172,7 @@
     BOOST_TEST((read->limits.idleTime == 15s));
 }
 
-BOOST_AUTO_TEST_CASE(WhatIsWrongIsFoundTogetherWithItsPlace)
+BOOST_AUTO_TEST_CASE(EachInvalidFieldIsReportedWithItsPath)
 {
     std::string bad(configuration);
     bad.replace(bad.find("\"safe\""), 6, "false");
@@ -184,7 +187,7 @@
         BOOST_TEST(text.find(place) != std::string::npos, place);
 }
 
-BOOST_AUTO_TEST_CASE(AnUnknownKindOfRouteTakesNoOtherRouteDownAndRunsOnce)
+BOOST_AUTO_TEST_CASE(AnUnknownRouteTypeIsNotRepeatableAndRejectsNoRoute)
 {
     for (const auto& [kind, repeatable, known] : {std::tuple("download", true, true), std::tuple("upload", false, true),
                                                   std::tuple("some-new-kind", false, false)})
@@ -233,7 +236,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(WhatIsCutShortIsNoConfiguration)
+BOOST_AUTO_TEST_CASE(ATruncatedConfigurationIsRejected)
 {
     for (std::size_t size = 0; size < configuration.size() - 1; size += 7)
     {
@@ -243,7 +246,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(AConfigurationWithLittleOrUnknownInItsFieldsIsTaken)
+BOOST_AUTO_TEST_CASE(AConfigurationWithNullMissingOrUnknownFieldsIsAccepted)
 {
     const auto replaced = [](std::string_view from, std::string_view to)
     {
@@ -268,7 +271,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(ValuesBeyondWhatIsUsualAreTaken)
+BOOST_AUTO_TEST_CASE(ValuesAboveTheLimitsAreAccepted)
 {
     for (const auto& [from, to] :
          {std::pair("\"Priority\":2", "\"Priority\":5000"), std::pair("\"MaxAttempts\":2", "\"MaxAttempts\":1000"),
@@ -318,31 +321,31 @@
     BOOST_TEST(read->sequence == 12U);
 }
 
-BOOST_AUTO_TEST_CASE(TheStartOfAServersLifeIsRead)
+BOOST_AUTO_TEST_CASE(TheStartTimeOfAServerIsRead)
 {
     core::Findings findings;
     const auto     read = platform::JsonTranslator().announcement(
-            "servers/i-1", entryOf("10.1.2.3:80", "ready", 1, R"(,"born":1785542400123)"), findings);
+            "servers/i-1", serverEntry("10.1.2.3:80", "ready", 1, R"(,"born":1785542400123)"), findings);
     BOOST_REQUIRE_MESSAGE(read, findings.text());
     BOOST_TEST(read->instance.born == 1785542400123U);
 }
 
-BOOST_AUTO_TEST_CASE(EntriesOfOtherWritersNameNoServer)
+BOOST_AUTO_TEST_CASE(InvalidEntriesAreRejected)
 {
-    const std::string whole = entryOf("10.1.2.3:80", "ready", 1, R"(,"born":5)");
-    const auto        with = [&whole](const std::string& from, const std::string& to)
+    const std::string validEntry = serverEntry("10.1.2.3:80", "ready", 1, R"(,"born":5)");
+    const auto        withReplaced = [&validEntry](const std::string& from, const std::string& to)
     {
-        std::string text = whole;
+        std::string text = validEntry;
         return text.replace(text.find(from), from.size(), to);
     };
-    const auto reads = [](const std::string& key, const std::string& value)
+    const auto isAccepted = [](const std::string& key, const std::string& value)
     {
         core::Findings findings;
         const bool     read = platform::JsonTranslator().announcement(key, value, findings).has_value();
         BOOST_TEST(read == findings.empty());
         return read;
     };
-    BOOST_TEST(reads("servers/i-1", whole));
+    BOOST_TEST(isAccepted("servers/i-1", validEntry));
     for (const auto& [from, to] :
          std::vector<std::pair<std::string, std::string>>{{R"("Service":"s1",)", ""},
                                                           {R"("s1")", "7"},
@@ -366,21 +369,22 @@
                                                           {R"("born":5)", R"("born":[5])"}})
     {
         BOOST_TEST_CONTEXT(from << " -> " << to)
-        BOOST_TEST(!reads("servers/i-1", with(from, to)));
+        BOOST_TEST(!isAccepted("servers/i-1", withReplaced(from, to)));
     }
     for (const std::string& value : {std::string(), std::string("\xff\xfe\x00", 3), std::string("[]"), std::string("7"),
                                      std::string(100'000, '['), R"({"Service":")" + std::string(100'000, 'x') + "\"}"})
-        BOOST_TEST(!reads("servers/i-1", value));
+        BOOST_TEST(!isAccepted("servers/i-1", value));
     for (const char* key : {"servers/", "servers/a/b", "servers/i 1", "servers/i\r\nX: 1"})
-        BOOST_TEST(!reads(key, whole), key);
+        BOOST_TEST(!isAccepted(key, validEntry), key);
 }
 
-BOOST_AUTO_TEST_CASE(WhateverIsWrittenIsReadOrRejected)
+BOOST_AUTO_TEST_CASE(MutatedDocumentsAreReadOrRejected)
 {
-    // Valid documents with bytes changed, taken out and doubled: a reader that throws would end the process.
+    // Mutates valid documents: replaces, removes, duplicates and inserts bytes. An exception from the translator would
+    // end the gateway's process.
     core::Random                     random(20261203);
     const platform::JsonTranslator   translator;
-    const std::array<std::string, 2> documents{entryOf("10.1.2.3:80", "ready", 1, R"(,"born":5)"),
+    const std::array<std::string, 2> documents{serverEntry("10.1.2.3:80", "ready", 1, R"(,"born":5)"),
                                                std::string(configuration)};
     constexpr int                    rounds = 20'000;
     std::size_t                      read = 0;
@@ -408,16 +412,16 @@
             }
         }
         core::Findings findings;
-        const bool     good = round % 2 == 0 ? translator.announcement("servers/i-1", text, findings).has_value()
-                                             : translator.deployment(text, findings).has_value();
-        BOOST_REQUIRE(good == findings.empty());
-        read += good ? 1 : 0;
+        const bool     accepted = round % 2 == 0 ? translator.announcement("servers/i-1", text, findings).has_value()
+                                                 : translator.deployment(text, findings).has_value();
+        BOOST_REQUIRE(accepted == findings.empty());
+        read += accepted ? 1 : 0;
     }
     BOOST_TEST(read > 0U);
     BOOST_TEST(read < static_cast<std::size_t>(rounds));
 }
 
-BOOST_AUTO_TEST_CASE(WhatAColdServerBearsIsRead)
+BOOST_AUTO_TEST_CASE(TheWarmUpOfAServiceIsRead)
 {
     std::string text(configuration);
     text.replace(text.find("\"MaxConns\":220"), 14, "\"MaxConns\":220,\"WarmupS\":3.0,\"WarmupPerS\":2.5");
@@ -432,7 +436,7 @@
     BOOST_TEST(findings.text().find("Services[0].WarmupPerS") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(OnlyTheKeyOfAnEvacuationCounts)
+BOOST_AUTO_TEST_CASE(AnEvacuationIsReadFromItsKey)
 {
     const platform::JsonTranslator translator;
     BOOST_TEST(translator.evacuatedDataCentre("op/evacuate/dc-1") == "dc-1");
@@ -440,7 +444,7 @@
         BOOST_TEST(translator.evacuatedDataCentre(other).empty(), other);
 }
 
-BOOST_AUTO_TEST_CASE(LoadReportsOfThreeOrFourFigures)
+BOOST_AUTO_TEST_CASE(LoadReportsHaveThreeOrFourNumbers)
 {
     const auto parse = platform::dialect().parseLoad;
     BOOST_TEST(parse("3,1,8")->waiting == 1U);
@@ -462,9 +466,9 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_FIXTURE_TEST_SUITE(KvSourceTest, Caller)
+BOOST_FIXTURE_TEST_SUITE(KvSourceTest, SourceFixture)
 
-BOOST_AUTO_TEST_CASE(AReadingEndsHoweverManyPagesItTakes)
+BOOST_AUTO_TEST_CASE(AReadOfManyPagesCompletes)
 {
     for (int i = 0; i < 400; ++i)
         store.put("servers/" + std::to_string(1000 + i), "value");
@@ -473,7 +477,7 @@
     BOOST_TEST(answer.items.size() == 400U);
 }
 
-BOOST_AUTO_TEST_CASE(AllPagesAreReadAndTheRevisionIsTheFirstPages)
+BOOST_AUTO_TEST_CASE(AReadReturnsAllPagesAndTheRevisionOfTheFirst)
 {
     for (int i = 0; i < 8; ++i)
         store.put("servers/i " + std::to_string(i), "value " + std::to_string(i));
@@ -482,19 +486,19 @@
     BOOST_REQUIRE_EQUAL(answer.items.size(), 8U);
     BOOST_TEST(answer.items[7].value == "value 7");
     BOOST_TEST(answer.at == 9U);
-    BOOST_TEST(answer.snapshot); // The store stood still between the pages
+    BOOST_TEST(answer.snapshot); // The store did not change between the pages
     BOOST_TEST(answer.upTo == 9U);
     BOOST_TEST(store.calls() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(OnePageIsASnapshotUnlessItMayBeOld)
+BOOST_AUTO_TEST_CASE(OnePageIsASnapshotUnlessItMayBeStale)
 {
     store.put("servers/i", "value");
     BOOST_TEST(read().snapshot);
     BOOST_TEST(!read(replication::ReadMode::MayBeStale).snapshot);
 }
 
-BOOST_AUTO_TEST_CASE(ACheapReadingIsTakenForAsOldAsItsOldestPage)
+BOOST_AUTO_TEST_CASE(AStaleReadHasTheRevisionOfItsOldestPage)
 {
     for (int i = 0; i < 8; ++i)
         store.put("servers/i " + std::to_string(i), "value " + std::to_string(i));
@@ -503,10 +507,10 @@
     BOOST_TEST((answer.status == ReadStatus::Ok));
     BOOST_TEST(answer.items.size() == 7U);
     BOOST_TEST(answer.at == 4U); // The first page ends with the third item written
-    BOOST_TEST(store.oldReads() == store.calls());
+    BOOST_TEST(store.staleReads() == store.calls());
 }
 
-BOOST_AUTO_TEST_CASE(AWatchTellsWritesAndRemovals)
+BOOST_AUTO_TEST_CASE(AWatchReturnsWritesAndRemovals)
 {
     store.put("a", "1");
     store.remove("b");
@@ -518,7 +522,7 @@
     BOOST_TEST(answer.at == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(AWatchWithoutChangesEndsInItsTime)
+BOOST_AUTO_TEST_CASE(AWatchWithoutChangesEndsAfterItsWait)
 {
     const ReadResult answer = watch(1, 5ms);
     BOOST_TEST((answer.status == ReadStatus::Ok));
@@ -526,18 +530,18 @@
     BOOST_TEST(answer.at == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(LostHistoryIsTold)
+BOOST_AUTO_TEST_CASE(LostHistoryIsReported)
 {
     store.put("a", "1");
-    store.forgetHistory();
+    store.discardHistory();
     BOOST_TEST((watch(1, 1s).status == ReadStatus::HistoryLost));
 }
 
-BOOST_AUTO_TEST_CASE(EveryFaultIsAFailureAndTheNextCallWorks)
+BOOST_AUTO_TEST_CASE(EveryStoreFaultFailsTheCallAndTheNextCallSucceeds)
 {
     store.put("a", "1");
-    for (const StoreFault fault :
-         {StoreFault::Refuse, StoreFault::TooMany, StoreFault::Silent, StoreFault::LostAnswer, StoreFault::Garbled})
+    for (const StoreFault fault : {StoreFault::Unavailable, StoreFault::TooManyRequests, StoreFault::NoResponse,
+                                   StoreFault::LostResponse, StoreFault::MalformedBody})
     {
         store.setFault(fault);
         BOOST_TEST((read().status == ReadStatus::Failed));
@@ -551,11 +555,11 @@
 
 BOOST_AUTO_TEST_SUITE(FleetThreadTest)
 
-BOOST_AUTO_TEST_CASE(WhatIsDeclaredReachesTheDataPathAndABadConfigurationDoesNot)
+BOOST_AUTO_TEST_CASE(DeclarationsReachTheDataPathAndAnInvalidConfigurationDoesNot)
 {
     StoreStandIn                   store;
     const platform::JsonTranslator translator;
-    QuietLog                       log;
+    NullLog                        log;
     std::mutex                     mutex;
     deployment::Declared           last;
     std::condition_variable        changed;
@@ -575,45 +579,46 @@
             changed.notify_all();
         },
         log);
-    const auto reaches = [&](const std::function<bool()>& condition)
+    const auto waitUntil = [&](const std::function<bool()>& condition)
     {
         std::unique_lock<std::mutex> lock(mutex);
         return changed.wait_for(lock, 10s, condition);
     };
     store.put("op/config", std::string(configuration));
-    store.put("servers/i-1", entryOf("10.1.2.3:80", "ready", 1));
-    BOOST_TEST(reaches([&] { return last.deployment && last.instances.size() == 1; }));
+    store.put("servers/i-1", serverEntry("10.1.2.3:80", "ready", 1));
+    BOOST_TEST(waitUntil([&] { return last.deployment && last.instances.size() == 1; }));
     store.put("op/config", "{\"Version\":8}");
-    store.put("servers/i-1", entryOf("10.1.2.3:80", "draining", 2));
-    BOOST_TEST(reaches([&] { return !last.instances.empty() && last.instances[0].draining; }));
-    // Nor does one that vanishes.
+    store.put("servers/i-1", serverEntry("10.1.2.3:80", "draining", 2));
+    BOOST_TEST(waitUntil([&] { return !last.instances.empty() && last.instances[0].draining; }));
+    // A configuration that is removed leaves the last valid one in force.
     store.remove("op/config");
-    store.put("servers/i-2", entryOf("10.1.2.3:81", "ready", 1));
-    BOOST_TEST(reaches([&] { return last.instances.size() == 2; }));
+    store.put("servers/i-2", serverEntry("10.1.2.3:81", "ready", 1));
+    BOOST_TEST(waitUntil([&] { return last.instances.size() == 2; }));
     const std::lock_guard<std::mutex> lock(mutex);
     BOOST_TEST(last.deployment->version == 7U);
 }
 
-BOOST_FIXTURE_TEST_CASE(AnEntryWithAnotherSequenceOnlyIsToldUnchanged, Watched)
+BOOST_FIXTURE_TEST_CASE(AnEntryThatChangesOnlyItsSequenceLeavesTheInstanceUnchanged, FleetFixture)
 {
     store.put("op/config", std::string(configuration));
     store.put("servers/i-1", entry("ready", 1));
-    BOOST_REQUIRE(reaches([](const auto& told) { return told.instances.size() == 1; }));
+    BOOST_REQUIRE(waitUntil([](const auto& declared) { return declared.instances.size() == 1; }));
     const auto before = last.instances;
     store.put("servers/i-1", entry("ready", 2));
     store.put("servers/i-2", entry("ready", 1));
-    BOOST_REQUIRE(reaches([](const auto& told) { return told.instances.size() == 2; }));
+    BOOST_REQUIRE(waitUntil([](const auto& declared) { return declared.instances.size() == 2; }));
     const std::lock_guard<std::mutex> lock(mutex);
     BOOST_TEST((last.instances[0] == before[0]));
 }
 
-BOOST_FIXTURE_TEST_CASE(OnceDrainingAServerIsNeverToldAsReadyWhateverTheStoreDoes, Watched)
+BOOST_FIXTURE_TEST_CASE(ADrainingServerIsNeverReportedReadyDespiteStoreFaults, FleetFixture)
 {
     store.put("op/config", std::string(configuration));
     for (const char* id : {"i-1", "i-2", "i-3", "i-4"})
         store.put(std::string("servers/") + id, entry("ready", 5));
     store.put("servers/i-1", entry("draining", 6));
-    BOOST_REQUIRE(reaches([](const auto& told) { return told.instances.size() == 4 && !takes(told, "i-1"); }));
+    BOOST_REQUIRE(waitUntil([](const auto& declared)
+                            { return declared.instances.size() == 4 && !isAvailable(declared, "i-1"); }));
     std::size_t from = 0;
     {
         const std::lock_guard<std::mutex> lock(mutex);
@@ -621,102 +626,124 @@
     }
     int servers = 5;
     for (const StoreFault fault :
-         {StoreFault::Refuse, StoreFault::LostAnswer, StoreFault::Garbled, StoreFault::TooMany})
+         {StoreFault::Unavailable, StoreFault::LostResponse, StoreFault::MalformedBody, StoreFault::TooManyRequests})
     {
         store.setFault(fault);
         std::this_thread::sleep_for(400ms);
-        // The entry is lost, and so are others; then an old word of the server appears.
+        // The store loses the draining server's entry and another one. An older entry of the draining server
+        // appears afterwards.
         for (const char* id : {"i-1", "i-2"})
             store.remove(std::string("servers/") + id);
-        store.forgetHistory();
+        store.discardHistory();
         store.setFault(StoreFault::None);
         std::this_thread::sleep_for(50ms);
         store.put("servers/i-1", entry("ready", 4));
         store.put("servers/i-2", entry("ready", 5));
         store.put("servers/i-" + std::to_string(servers), entry("ready", 1));
         const std::string added = "i-" + std::to_string(servers++);
-        BOOST_REQUIRE(reaches([&](const auto& told) { return takes(told, added) && takes(told, "i-2"); }));
+        BOOST_REQUIRE(waitUntil([&](const auto& declared)
+                                { return isAvailable(declared, added) && isAvailable(declared, "i-2"); }));
     }
     const std::lock_guard<std::mutex> lock(mutex);
     for (std::size_t i = from; i < all.size(); ++i)
-        BOOST_TEST(!takes(all[i], "i-1"));
+        BOOST_TEST(!isAvailable(all[i], "i-1"));
 }
 
-BOOST_FIXTURE_TEST_CASE(EvacuationsBeginAndEndWhateverTheirValueAndWhateverTheStoreDoes, Watched)
+BOOST_FIXTURE_TEST_CASE(EvacuationsBeginAndEndWithAnyValueAndDespiteStoreFaults, FleetFixture)
 {
     using Names = std::set<std::string>;
     store.put("op/config", std::string(configuration));
     store.put("servers/i-1", entry("ready", 5));
-    // It stands before this life began.
+    // This evacuation is in the store before the fleet thread's first complete read.
     store.put("op/evacuate/dc-0", "{}");
-    BOOST_REQUIRE(reaches([](const auto& told) { return told.evacuated == Names{"dc-0"}; }));
+    BOOST_REQUIRE(waitUntil([](const auto& declared) { return declared.evacuated == Names{"dc-0"}; }));
     store.put("op/evacuate/dc-1", "");
     store.put("op/evacuate/dc-2", "{no JSON");
     store.put("op/evacuate/unheard of", "[]");
-    BOOST_TEST(reaches([](const auto& told) { return told.evacuated == Names{"dc-0", "dc-1", "dc-2", "unheard of"}; }));
+    BOOST_TEST(waitUntil(
+        [](const auto& declared) {
+            return declared.evacuated == Names{"dc-0", "dc-1", "dc-2", "unheard of"};
+        }));
     store.remove("op/evacuate/dc-1");
-    BOOST_TEST(reaches([](const auto& told) { return told.evacuated == Names{"dc-0", "dc-2", "unheard of"}; }));
-    // One comes and goes within a moment; the other writes of it are not mixed up.
+    BOOST_TEST(waitUntil(
+        [](const auto& declared) {
+            return declared.evacuated == Names{"dc-0", "dc-2", "unheard of"};
+        }));
+    // An evacuation that begins and ends at once does not affect the evacuation written after it.
     store.put("op/evacuate/dc-1", "{}");
     store.remove("op/evacuate/dc-1");
     store.put("op/evacuate/dc-3", "{}");
-    BOOST_TEST(reaches([](const auto& told) { return told.evacuated == Names{"dc-0", "dc-2", "dc-3", "unheard of"}; }));
-    // What stands stays in force through an outage and a lost history, and what ended meanwhile is taken back.
-    store.setFault(StoreFault::Refuse);
+    BOOST_TEST(waitUntil(
+        [](const auto& declared) {
+            return declared.evacuated == Names{"dc-0", "dc-2", "dc-3", "unheard of"};
+        }));
+    // Evacuations stay in force through a store outage and a lost history; one that ended meanwhile is lifted
+    // after the outage.
+    store.setFault(StoreFault::Unavailable);
     store.remove("op/evacuate/dc-2");
     std::this_thread::sleep_for(300ms);
     {
         const std::lock_guard<std::mutex> lock(mutex);
         BOOST_TEST(last.evacuated.contains("dc-2"));
     }
-    store.forgetHistory();
+    store.discardHistory();
     store.setFault(StoreFault::None);
-    BOOST_TEST(reaches([](const auto& told) { return told.evacuated == Names{"dc-0", "dc-3", "unheard of"}; }));
-    // The status follows what was told within the same step of the thread.
+    BOOST_TEST(waitUntil(
+        [](const auto& declared) {
+            return declared.evacuated == Names{"dc-0", "dc-3", "unheard of"};
+        }));
+    // The thread updates its status after publishing the state, within the same step.
     for (int i = 0; i < 200 && thread.status().evacuated != 3U; ++i)
         std::this_thread::sleep_for(5ms);
     BOOST_TEST(thread.status().evacuated == 3U);
 }
 
-BOOST_FIXTURE_TEST_CASE(AnUnreadableEntryTakesItsServerOutAndNoOther, Watched)
+BOOST_FIXTURE_TEST_CASE(AnUnreadableEntryRemovesOnlyItsServer, FleetFixture)
 {
     store.put("op/config", std::string(configuration));
     for (const char* id : {"i-1", "i-2"})
         store.put(std::string("servers/") + id, entry("ready", 5));
-    BOOST_REQUIRE(reaches([](const auto& told) { return takes(told, "i-1") && takes(told, "i-2"); }));
+    BOOST_REQUIRE(
+        waitUntil([](const auto& declared) { return isAvailable(declared, "i-1") && isAvailable(declared, "i-2"); }));
     store.put("servers/i-1", "\xff no JSON");
-    BOOST_TEST(reaches([](const auto& told) { return !takes(told, "i-1") && takes(told, "i-2"); }));
+    BOOST_TEST(
+        waitUntil([](const auto& declared) { return !isAvailable(declared, "i-1") && isAvailable(declared, "i-2"); }));
     store.put("servers/i-1", entry("ready", 6));
-    BOOST_TEST(reaches([](const auto& told) { return takes(told, "i-1") && takes(told, "i-2"); }));
+    BOOST_TEST(
+        waitUntil([](const auto& declared) { return isAvailable(declared, "i-1") && isAvailable(declared, "i-2"); }));
     BOOST_TEST(thread.status().rejected == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(AServerThatStartsAgainUnderItsIdTakesRequests, Watched)
+BOOST_FIXTURE_TEST_CASE(AServerRestartedUnderTheSameIdReceivesRequests, FleetFixture)
 {
     store.put("op/config", std::string(configuration));
-    store.put("servers/i-1", entryOf("10.1.2.3:80", "ready", 9, R"(,"born":1000)"));
-    store.put("servers/i-2", entryOf("10.1.2.3:81", "ready", 9, R"(,"born":1000)"));
-    store.put("servers/i-1", entryOf("10.1.2.3:80", "draining", 10, R"(,"born":1000)"));
-    BOOST_REQUIRE(reaches([](const auto& told) { return !takes(told, "i-1") && takes(told, "i-2"); }));
-    store.put("servers/i-1", entryOf("10.1.2.3:80", "ready", 1, R"(,"born":2000)"));
-    BOOST_TEST(reaches([](const auto& told) { return takes(told, "i-1"); }));
+    store.put("servers/i-1", serverEntry("10.1.2.3:80", "ready", 9, R"(,"born":1000)"));
+    store.put("servers/i-2", serverEntry("10.1.2.3:81", "ready", 9, R"(,"born":1000)"));
+    store.put("servers/i-1", serverEntry("10.1.2.3:80", "draining", 10, R"(,"born":1000)"));
+    BOOST_REQUIRE(
+        waitUntil([](const auto& declared) { return !isAvailable(declared, "i-1") && isAvailable(declared, "i-2"); }));
+    store.put("servers/i-1", serverEntry("10.1.2.3:80", "ready", 1, R"(,"born":2000)"));
+    BOOST_TEST(waitUntil([](const auto& declared) { return isAvailable(declared, "i-1"); }));
 }
 
-BOOST_FIXTURE_TEST_CASE(AfterAnOutageWhatIsMissingIsGoneAndWhatComesBackTakesRequests, Watched)
+BOOST_FIXTURE_TEST_CASE(AfterAStoreOutageMissingServersAreRemovedAndReturningOnesReceiveRequests, FleetFixture)
 {
     store.put("op/config", std::string(configuration));
     for (const char* id : {"i-1", "i-2", "i-3", "i-4"})
         store.put(std::string("servers/") + id, entry("ready", 5));
-    BOOST_REQUIRE(reaches([](const auto& told) { return told.instances.size() == 4; }));
-    store.setFault(StoreFault::Refuse);
+    BOOST_REQUIRE(waitUntil([](const auto& declared) { return declared.instances.size() == 4; }));
+    store.setFault(StoreFault::Unavailable);
     std::this_thread::sleep_for(500ms);
     for (const char* id : {"i-1", "i-2", "i-3"})
         store.remove(std::string("servers/") + id);
     store.setFault(StoreFault::None);
     store.put("servers/i-2", entry("ready", 6));
-    BOOST_TEST(
-        reaches([](const auto& told)
-                { return !takes(told, "i-1") && takes(told, "i-2") && !takes(told, "i-3") && takes(told, "i-4"); }));
+    BOOST_TEST(waitUntil(
+        [](const auto& declared)
+        {
+            return !isAvailable(declared, "i-1") && isAvailable(declared, "i-2") && !isAvailable(declared, "i-3") &&
+                   isAvailable(declared, "i-4");
+        }));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/test/platform/StoreStandIn.cpp
+++ b/test/platform/StoreStandIn.cpp
@@ -12,11 +12,11 @@
 using support::Script;
 
 ////////////////////////////////////////////////////////////
-std::string parameter(const std::string& target, const std::string& name)
+std::string queryParameter(const std::string& target, const std::string& name)
 {
-    for (const char before : {'?', '&'})
+    for (const char separator : {'?', '&'})
     {
-        const auto at = target.find(before + name + "=");
+        const auto at = target.find(separator + name + "=");
         if (at != std::string::npos)
         {
             const auto from = at + name.size() + 2;
@@ -27,24 +27,24 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::string unescaped(const std::string& text)
+std::string percentDecoded(const std::string& text)
 {
-    std::string out;
+    std::string decoded;
     for (std::size_t i = 0; i < text.size(); ++i)
     {
         if (text[i] != '%')
         {
-            out += text[i];
+            decoded += text[i];
             continue;
         }
-        out += static_cast<char>(std::stoi(text.substr(i + 1, 2), nullptr, 16));
+        decoded += static_cast<char>(std::stoi(text.substr(i + 1, 2), nullptr, 16));
         i += 2;
     }
-    return out;
+    return decoded;
 }
 
 ////////////////////////////////////////////////////////////
-Script reply(int status, const std::string& body)
+Script response(int status, const std::string& body)
 {
     return {"HTTP/1.1 " + std::to_string(status) + " S\r\nContent-Type: application/json\r\nContent-Length: " +
             std::to_string(body.size()) + "\r\n\r\n" + body};
@@ -53,9 +53,9 @@
 } // namespace
 
 ////////////////////////////////////////////////////////////
-StoreStandIn::StoreStandIn(std::size_t page) :
-m_page(page),
-m_server([this](const std::string& request) { return answer(request); })
+StoreStandIn::StoreStandIn(std::size_t pageSize) :
+m_pageSize(pageSize),
+m_server([this](const std::string& request) { return respond(request); })
 {
 }
 
@@ -76,10 +76,10 @@
 }
 
 ////////////////////////////////////////////////////////////
-void StoreStandIn::forgetHistory()
+void StoreStandIn::discardHistory()
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    m_forgotten = m_revision;
+    m_discardedUpTo = m_revision;
     m_changed.notify_all();
 }
 
@@ -97,10 +97,10 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::size_t StoreStandIn::oldReads() const
+std::size_t StoreStandIn::staleReads() const
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    return m_oldReads;
+    return m_staleReads;
 }
 
 ////////////////////////////////////////////////////////////
@@ -110,7 +110,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-Script StoreStandIn::answer(const std::string& request)
+Script StoreStandIn::respond(const std::string& request)
 {
     const auto from = request.find(' ') + 1;
     const auto target = request.substr(from, request.find(' ', from) - from);
@@ -124,38 +124,38 @@
     {
     case StoreFault::None:
         break;
-    case StoreFault::Refuse:
-        return reply(503, "{}");
-    case StoreFault::TooMany:
-        return reply(429, "{}");
-    case StoreFault::Silent:
+    case StoreFault::Unavailable:
+        return response(503, "{}");
+    case StoreFault::TooManyRequests:
+        return response(429, "{}");
+    case StoreFault::NoResponse:
         script.silent = true;
         return script;
-    case StoreFault::LostAnswer:
+    case StoreFault::LostResponse:
         script.close = true;
         return script;
-    case StoreFault::Garbled:
-        return reply(200, "{\"items\":[{\"Key\":7}],");
+    case StoreFault::MalformedBody:
+        return response(200, "{\"items\":[{\"Key\":7}],");
     }
     if (target.starts_with("/-/kv-range"))
-        return range(target);
-    return target.starts_with("/-/kv-watch") ? watch(target) : reply(404, "{}");
+        return readRange(target);
+    return target.starts_with("/-/kv-watch") ? watchChanges(target) : response(404, "{}");
 }
 
 ////////////////////////////////////////////////////////////
-Script StoreStandIn::range(const std::string& target)
+Script StoreStandIn::readRange(const std::string& target)
 {
     const std::lock_guard<std::mutex> lock(m_mutex);
-    const std::string                 prefix = unescaped(parameter(target, "PathPrefix"));
-    const std::string                 after = unescaped(parameter(target, "after"));
-    m_oldReads += parameter(target, "stale") == "1" ? 1 : 0;
+    const std::string                 prefix = percentDecoded(queryParameter(target, "PathPrefix"));
+    const std::string                 after = percentDecoded(queryParameter(target, "after"));
+    m_staleReads += queryParameter(target, "stale") == "1" ? 1 : 0;
     json items = json::array();
     bool more = false;
     for (const auto& [key, item] : m_items)
     {
         if (item.gone || !key.starts_with(prefix) || (!after.empty() && key <= after))
             continue;
-        more = items.size() >= m_page;
+        more = items.size() >= m_pageSize;
         if (more)
             break;
         items.push_back({{"Key", key},
@@ -165,18 +165,18 @@
                          {"lease", 0},
                          {"new-field", true}});
     }
-    return reply(200, json{{"items", items}, {"more", more}, {"at", m_revision}}.dump());
+    return response(200, json{{"items", items}, {"more", more}, {"at", m_revision}}.dump());
 }
 
 ////////////////////////////////////////////////////////////
-Script StoreStandIn::watch(const std::string& target)
+Script StoreStandIn::watchChanges(const std::string& target)
 {
     std::unique_lock<std::mutex> lock(m_mutex);
-    const std::uint64_t          after = std::stoull(parameter(target, "after"));
-    const auto                   wait = std::chrono::milliseconds(std::stoll(parameter(target, "WaitMs")));
-    (void)m_changed.wait_for(lock, wait, [&] { return m_revision > after || after < m_forgotten; });
-    if (after < m_forgotten)
-        return reply(410, "{}");
+    const std::uint64_t          after = std::stoull(queryParameter(target, "after"));
+    const auto                   wait = std::chrono::milliseconds(std::stoll(queryParameter(target, "WaitMs")));
+    (void)m_changed.wait_for(lock, wait, [&] { return m_revision > after || after < m_discardedUpTo; });
+    if (after < m_discardedUpTo)
+        return response(410, "{}");
     json events = json::array();
     for (const auto& [key, item] : m_items)
     {
@@ -188,7 +188,7 @@
             events.push_back(
                 {{"Key", key}, {"Value", adapters::store::encodeBase64(item.value)}, {"Revision", item.revision}});
     }
-    return reply(200, json{{"events", events}, {"at", m_revision}}.dump());
+    return response(200, json{{"events", events}, {"at", m_revision}}.dump());
 }
 
 } // namespace sailpath::standins
--- a/test/platform/fuzz/Entries.fuzz.cpp
+++ b/test/platform/fuzz/Entries.fuzz.cpp
@@ -7,18 +7,20 @@
 #include <cstdlib>
 
 ////////////////////////////////////////////////////////////
-/// \brief Readers of what anybody may write to the store, and of what nodes tell each other: none crashes
+/// \brief Feeds arbitrary input to the parsers of store entries and of messages between nodes
+///
+/// No parser may crash. The parsers of entries and deployments must report findings exactly when they return nothing.
 ////////////////////////////////////////////////////////////
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size)
 {
     using namespace sailpath;
     const std::string              text(reinterpret_cast<const char*>(data), size);
     const platform::JsonTranslator translator;
-    core::Findings                 ofEntry;
-    core::Findings                 ofDeployment;
-    const bool                     entry = translator.announcement("servers/i-1", text, ofEntry).has_value();
-    const bool                     deployment = translator.deployment(text, ofDeployment).has_value();
-    if (entry != ofEntry.empty() || deployment != ofDeployment.empty())
+    core::Findings                 entryFindings;
+    core::Findings                 deploymentFindings;
+    const bool                     entry = translator.announcement("servers/i-1", text, entryFindings).has_value();
+    const bool                     deployment = translator.deployment(text, deploymentFindings).has_value();
+    if (entry != entryFindings.empty() || deployment != deploymentFindings.empty())
         std::abort();
     fleet::QuarantineKeeper keeper("node", 1);
     const std::string       key = "sailpath/quarantine/" + core::ContentHash{}.text();
