--- a/test/platform/Platform.test.cpp
+++ b/test/platform/Platform.test.cpp
@@ -133,7 +133,7 @@
     NullLog                           log;
     std::mutex                        mutex;
     deployment::Declared              last;
-    std::vector<deployment::Declared> all;
+    std::vector<deployment::Declared> published;
     std::condition_variable           changed;
     fleet::FleetThread                thread{
         fleetSettings(),
@@ -145,7 +145,7 @@
         {
             const std::lock_guard<std::mutex> lock(mutex);
             last = support::merged(last, declared);
-            all.push_back(last);
+            published.push_back(last);
             changed.notify_all();
         },
         log};
@@ -622,7 +622,7 @@
     std::size_t from = 0;
     {
         const std::lock_guard<std::mutex> lock(mutex);
-        from = all.size();
+        from = published.size();
     }
     int servers = 5;
     for (const StoreFault fault :
@@ -645,8 +645,8 @@
                                 { return isAvailable(declared, added) && isAvailable(declared, "i-2"); }));
     }
     const std::lock_guard<std::mutex> lock(mutex);
-    for (std::size_t i = from; i < all.size(); ++i)
-        BOOST_TEST(!isAvailable(all[i], "i-1"));
+    for (std::size_t i = from; i < published.size(); ++i)
+        BOOST_TEST(!isAvailable(published[i], "i-1"));
 }
 
 BOOST_FIXTURE_TEST_CASE(EvacuationsBeginAndEndWithAnyValueAndDespiteStoreFaults, FleetFixture)
