--- a/include/sailpath/adapters/net/TcpSocket.hpp
+++ b/include/sailpath/adapters/net/TcpSocket.hpp
@@ -10,27 +10,27 @@
 namespace sailpath::adapters::net
 {
 ////////////////////////////////////////////////////////////
-/// \brief How a transfer ended
+/// \brief Outcome of one read or write on a socket
 ////////////////////////////////////////////////////////////
 enum class IoStatus
 {
-    Done,    //!< Some bytes were transferred
-    Closed,  //!< The other side closed
-    Timeout, //!< Nothing happened in time
-    Failed   //!< The connection is broken
+    Done,    //!< At least one byte was transferred
+    Closed,  //!< The peer closed the connection
+    Timeout, //!< The socket was not ready within the timeout
+    Failed   //!< The socket reported an error
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Result of a transfer
+/// \brief Outcome and byte count of one read or write
 ////////////////////////////////////////////////////////////
 struct IoResult
 {
-    IoStatus    status{IoStatus::Failed}; //!< How it ended
-    std::size_t bytes{0};                 //!< Bytes transferred
+    IoStatus    status{IoStatus::Failed}; //!< Outcome of the transfer
+    std::size_t bytes{0};                 //!< Number of bytes transferred
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Owns a TCP connection and transfers bytes with a time limit
+/// \brief Owns a TCP connection and reads and writes with a timeout
 ////////////////////////////////////////////////////////////
 class TcpSocket
 {
@@ -38,7 +38,7 @@
     TcpSocket() = default;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Take over an open descriptor
+    /// \brief Take ownership of an open socket descriptor
     ////////////////////////////////////////////////////////////
     explicit TcpSocket(int descriptor);
 
@@ -49,56 +49,53 @@
     TcpSocket& operator=(const TcpSocket&) = delete;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Connect
+    /// \brief Open a connection to an IP address
     ///
-    /// \param address IP number
+    /// \param address IPv4 or IPv6 address as text
     /// \param port    TCP port
-    /// \param timeout Longest time to wait
+    /// \param timeout Longest wait for the connection to be established
     ///
-    /// \return A closed socket when there is no connection
+    /// \return A closed socket when the address is invalid or the connection fails
     ////////////////////////////////////////////////////////////
     [[nodiscard]] static TcpSocket connect(const std::string& address, std::uint16_t port, core::Duration timeout);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Read what is there, waiting for the first byte
+    /// \brief Read the bytes that are available, waiting up to `timeout` for the first byte
     ////////////////////////////////////////////////////////////
     [[nodiscard]] IoResult read(std::span<char> buffer, core::Duration timeout) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Write as much as is accepted, waiting for room
+    /// \brief Write as much as the send buffer accepts, waiting up to `timeout` for free space
     ////////////////////////////////////////////////////////////
     [[nodiscard]] IoResult write(std::span<const char> data, core::Duration timeout) const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Whether the other side has neither closed nor sent anything
+    /// \brief Whether the connection is open and holds no unread bytes
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] bool quiet() const;
+    [[nodiscard]] bool isIdle() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Whether the other side has closed or the connection is broken
+    /// \brief Whether the peer has closed the connection, with all its bytes read, or the socket has failed
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] bool hungUp() const;
+    [[nodiscard]] bool isDisconnected() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Break the connection; a transfer in another thread ends
+    /// \brief Shut down both directions, which ends a transfer in another thread
     ////////////////////////////////////////////////////////////
     void shutdown() const;
 
-    ////////////////////////////////////////////////////////////
-    /// \brief Close
-    ////////////////////////////////////////////////////////////
     void close();
 
     ////////////////////////////////////////////////////////////
-    /// \brief Give up ownership of the descriptor
+    /// \brief Release ownership of the descriptor without closing it
     ////////////////////////////////////////////////////////////
     [[nodiscard]] int release();
 
-    [[nodiscard]] bool isOpen() const;     //!< Whether there is a descriptor
-    [[nodiscard]] int  descriptor() const; //!< The descriptor, -1 when closed
+    [[nodiscard]] bool isOpen() const;
+    [[nodiscard]] int  descriptor() const; //!< -1 when the socket is closed
 
 private:
-    int m_descriptor{-1}; //!< Owned; -1 when closed
+    int m_descriptor{-1}; //!< Owned descriptor; -1 when the socket is closed
 };
 
 } // namespace sailpath::adapters::net
--- a/src/sailpath/adapters/http/ConnectionPool.cpp
+++ b/src/sailpath/adapters/http/ConnectionPool.cpp
@@ -23,7 +23,7 @@
     {
         Idle idle = std::move(found->second.back());
         found->second.pop_back();
-        if (idle.since >= oldest && idle.socket.quiet())
+        if (idle.since >= oldest && idle.socket.isIdle())
             return std::move(idle.socket);
     }
     return {};
@@ -45,7 +45,7 @@
     const auto                        found = m_idle.find(server);
     if (found == m_idle.end() || found->second.empty())
         return false;
-    std::erase_if(found->second, [](const Idle& idle) { return !idle.socket.quiet(); });
+    std::erase_if(found->second, [](const Idle& idle) { return !idle.socket.isIdle(); });
     return found->second.empty();
 }
 
--- a/src/sailpath/adapters/http/Ingress.cpp
+++ b/src/sailpath/adapters/http/Ingress.cpp
@@ -365,7 +365,7 @@
     switch (connection.state)
     {
     case ConnectionState::Serving:
-        if (connection.bodyRead && age > sweepEvery && connection.io.hungUp())
+        if (connection.bodyRead && age > sweepEvery && connection.io.isDisconnected())
             connection.cancellation->cancel();
         break;
     case ConnectionState::Head:
@@ -376,7 +376,8 @@
         }
         break;
     case ConnectionState::Idle:
-        if ((age > settings.idleTime || (closing && connection.io.quiet())) && connection.giveUp(ConnectionState::Idle))
+        if ((age > settings.idleTime || (closing && connection.io.isIdle())) &&
+            connection.giveUp(ConnectionState::Idle))
             connection.io.shutdown();
         break;
     case ConnectionState::GivenUp:
--- a/src/sailpath/adapters/net/TcpSocket.cpp
+++ b/src/sailpath/adapters/net/TcpSocket.cpp
@@ -16,15 +16,15 @@
 namespace
 {
 ////////////////////////////////////////////////////////////
-/// \brief Wait until a descriptor is ready; false on timeout
+/// \brief Wait until a descriptor is ready; false on timeout or when polling fails
 ////////////////////////////////////////////////////////////
-bool waitFor(int descriptor, short events, core::Duration timeout)
+bool waitUntilReady(int descriptor, short events, core::Duration timeout)
 {
-    pollfd    watched{descriptor, events, 0};
+    pollfd    polled{descriptor, events, 0};
     const int milliseconds = static_cast<int>(std::clamp<std::int64_t>((timeout.count() + 999) / 1000, 0, 3'600'000));
     int       ready = 0;
     do
-        ready = poll(&watched, 1, milliseconds);
+        ready = poll(&polled, 1, milliseconds);
     while (ready < 0 && errno == EINTR);
     return ready > 0;
 }
@@ -36,7 +36,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief Fill in a socket address; zero when the text is no IP number
+/// \brief Fill in a socket address and return its length; 0 when the text is not an IP address
 ////////////////////////////////////////////////////////////
 socklen_t makeAddress(const std::string& address, std::uint16_t port, sockaddr_storage& storage)
 {
@@ -104,7 +104,7 @@
 
     if (::connect(socket.m_descriptor, reinterpret_cast<sockaddr*>(&storage), length) == 0)
         return socket;
-    if (errno != EINPROGRESS || !waitFor(socket.m_descriptor, POLLOUT, timeout))
+    if (errno != EINPROGRESS || !waitUntilReady(socket.m_descriptor, POLLOUT, timeout))
         return {};
     int       error = 0;
     socklen_t size = sizeof(error);
@@ -126,7 +126,7 @@
             return {IoStatus::Closed, 0};
         if (!wouldBlock())
             return {IoStatus::Failed, 0};
-        if (!waitFor(m_descriptor, POLLIN, timeout))
+        if (!waitUntilReady(m_descriptor, POLLIN, timeout))
             return {IoStatus::Timeout, 0};
     }
 }
@@ -141,13 +141,13 @@
             return {IoStatus::Done, static_cast<std::size_t>(count)};
         if (!wouldBlock())
             return {IoStatus::Failed, 0};
-        if (!waitFor(m_descriptor, POLLOUT, timeout))
+        if (!waitUntilReady(m_descriptor, POLLOUT, timeout))
             return {IoStatus::Timeout, 0};
     }
 }
 
 ////////////////////////////////////////////////////////////
-bool TcpSocket::quiet() const
+bool TcpSocket::isIdle() const
 {
     char          byte = 0;
     const ssize_t count = recv(m_descriptor, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -155,7 +155,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool TcpSocket::hungUp() const
+bool TcpSocket::isDisconnected() const
 {
     char          byte = 0;
     const ssize_t count = recv(m_descriptor, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
--- a/test/entry/Proxy.test.cpp
+++ b/test/entry/Proxy.test.cpp
@@ -488,7 +488,7 @@
     const TcpSocket socket = TcpSocket::connect("127.0.0.1", ingress->port(), 1s);
     (void)socket.write(std::string("POST /a HTTP/1.1\r\nHost: portal.admissa\r\nContent-Length: 60000\r\n\r\n"), 1s);
     int bytes = 0;
-    for (; bytes < 200 && socket.quiet(); ++bytes)
+    for (; bytes < 200 && socket.isIdle(); ++bytes)
     {
         (void)socket.write(std::string("x"), 1s);
         std::this_thread::sleep_for(50ms);
