--- a/src/sailpath/adapters/calls/HttpCaller.cpp
+++ b/src/sailpath/adapters/calls/HttpCaller.cpp
@@ -14,116 +14,118 @@
 {
 namespace
 {
-constexpr std::uint32_t headLimit = 16U * 1024;
-constexpr std::uint64_t bodyLimit = std::uint64_t{64} << 20U;
-constexpr auto          longestAnswer = std::chrono::seconds{5}; // From its first byte to its last
+constexpr std::uint32_t maxHeadBytes = 16U * 1024;
+constexpr std::uint64_t maxBodyBytes = std::uint64_t{64} << 20U;
+constexpr auto          maxTransferTime =
+    std::chrono::seconds{5}; // Added to the idle timeout: limits the time from the start of a call to its last byte
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
 struct HttpCaller::Impl : public std::enable_shared_from_this<HttpCaller::Impl>
 {
-    Impl(asio::io_context& loop, settings::Endpoint where) :
-    service(std::move(where)),
+    Impl(asio::io_context& loop, settings::Endpoint endpoint) :
+    service(std::move(endpoint)),
     socket(loop),
     timer(loop)
     {
     }
 
-    void start(core::Duration longest)
+    void start(core::Duration timeout)
     {
         ++calls;
-        const std::uint64_t number = calls;
-        reader = std::make_unique<http::MessageReader>(http::MessageKind::Answer, headLimit, bodyLimit);
-        silence = longest;
+        const std::uint64_t callNumber = calls;
+        reader = std::make_unique<http::MessageReader>(http::MessageKind::Answer, maxHeadBytes, maxBodyBytes);
+        idleTimeout = timeout;
         startedAt = core::now();
-        awaitBytes(number);
+        startIdleTimer(callNumber);
         if (connected)
-            return write(number);
+            return write(callNumber);
         asio::error_code error;
         socket = asio::ip::tcp::socket(socket.get_executor());
         const auto ip = asio::ip::make_address(service.address, error);
         socket.async_connect({ip, service.port},
-                             [self = shared_from_this(), number](const asio::error_code& failed)
+                             [self = shared_from_this(), callNumber](const asio::error_code& failed)
                              {
-                                 if (self->calls != number || !self->answered)
+                                 if (self->calls != callNumber || !self->onResponse)
                                      return;
                                  if (failed)
                                      return self->fail();
                                  asio::error_code ignored;
                                  self->socket.set_option(asio::ip::tcp::no_delay(true), ignored);
                                  self->connected = true;
-                                 self->write(number);
+                                 self->write(callNumber);
                              });
     }
 
-    // A long answer takes its time on a narrow link; what counts is that it goes on.
-    void awaitBytes(std::uint64_t number)
+    // The timer restarts with every received byte: a long response over a slow link may exceed the idle timeout as a
+    // whole, as long as its bytes keep arriving.
+    void startIdleTimer(std::uint64_t callNumber)
     {
-        timer.expires_after(silence);
+        timer.expires_after(idleTimeout);
         timer.async_wait(
-            [self = shared_from_this(), number](const asio::error_code& error)
+            [self = shared_from_this(), callNumber](const asio::error_code& error)
             {
-                if (!error && self->calls == number)
+                if (!error && self->calls == callNumber)
                     self->fail();
             });
     }
 
-    void write(std::uint64_t number)
+    void write(std::uint64_t callNumber)
     {
         asio::async_write(socket, asio::buffer(request),
-                          [self = shared_from_this(), number](const asio::error_code& error, std::size_t)
+                          [self = shared_from_this(), callNumber](const asio::error_code& error, std::size_t)
                           {
-                              if (self->calls == number && self->answered && error)
+                              if (self->calls == callNumber && self->onResponse && error)
                                   self->fail();
                           });
-        read(number);
+        read(callNumber);
     }
 
-    void read(std::uint64_t number)
+    void read(std::uint64_t callNumber)
     {
         socket.async_read_some(asio::buffer(buffer),
-                               [self = shared_from_this(), number](const asio::error_code& error, std::size_t bytes)
+                               [self = shared_from_this(), callNumber](const asio::error_code& error, std::size_t bytes)
                                {
-                                   if (self->calls != number || !self->answered)
+                                   if (self->calls != callNumber || !self->onResponse)
                                        return;
                                    if (error)
                                        return self->fail();
-                                   self->received(bytes, number);
+                                   self->handleBytes(bytes, callNumber);
                                });
     }
 
-    void received(std::size_t bytes, std::uint64_t number)
+    void handleBytes(std::size_t bytes, std::uint64_t callNumber)
     {
         unread.append(buffer.data(), bytes);
         unread.erase(0, reader->read(unread));
         const http::ReadState state = reader->state();
         const bool            unfinished = state == http::ReadState::Head || state == http::ReadState::Body;
-        if (unfinished && core::now() - startedAt < silence + longestAnswer)
+        if (unfinished && core::now() - startedAt < idleTimeout + maxTransferTime)
         {
-            awaitBytes(number);
-            return read(number);
+            startIdleTimer(callNumber);
+            return read(callNumber);
         }
         if (state != http::ReadState::Done)
             return fail();
-        const bool keep = reader->head().keepAlive && unread.empty();
-        end({reader->head().status, reader->takeBody()}, keep);
+        const bool keepAlive = reader->head().keepAlive && unread.empty();
+        finish({reader->head().status, reader->takeBody()}, keepAlive);
     }
 
     void fail()
     {
-        end({}, false);
+        finish({}, false);
     }
 
-    void end(CallAnswer answer, bool keep)
+    void finish(CallAnswer answer, bool keepAlive)
     {
         timer.cancel();
-        if (!keep)
+        if (!keepAlive)
             disconnect();
-        const Answered told = std::move(answered);
-        answered = nullptr;
-        if (told)
-            told(std::move(answer));
+        const ResponseCallback callback = std::move(onResponse);
+        onResponse = nullptr;
+        if (callback)
+            callback(std::move(answer));
     }
 
     void disconnect()
@@ -134,18 +136,18 @@
         unread.clear();
     }
 
-    settings::Endpoint                   service;          //!< Where
-    asio::ip::tcp::socket                socket;           //!< Connection
-    asio::steady_timer                   timer;            //!< Of the call
-    std::unique_ptr<http::MessageReader> reader;           //!< Of the answer
-    std::string                          request;          //!< Bytes
-    std::string                          unread;           //!< Bytes not taken yet
-    std::array<char, 16384>              buffer{};         //!< Bytes as they come
-    Answered                             answered;         //!< Of the call under way
-    std::uint64_t                        calls{0};         //!< Since the start
-    bool                                 connected{false}; //!< The connection is up
-    core::Duration                       silence{};        //!< Longest time without a byte
-    core::Timestamp                      startedAt{};      //!< Of the call under way
+    settings::Endpoint                   service;    //!< Address and port of the service
+    asio::ip::tcp::socket                socket;     //!< Connection to the service
+    asio::steady_timer                   timer;      //!< Expires after idleTimeout without a received byte
+    std::unique_ptr<http::MessageReader> reader;     //!< Parser of the response
+    std::string                          request;    //!< Serialized request
+    std::string                          unread;     //!< Received bytes that the parser has not consumed yet
+    std::array<char, 16384>              buffer{};   //!< Receive buffer
+    ResponseCallback                     onResponse; //!< Callback of the call in progress; empty between calls
+    std::uint64_t   calls{0};         //!< Calls started since construction; also numbers the call in progress
+    bool            connected{false}; //!< Whether the connection is established
+    core::Duration  idleTimeout{};    //!< Longest wait without a received byte
+    core::Timestamp startedAt{};      //!< Start of the call in progress
 };
 
 ////////////////////////////////////////////////////////////
@@ -157,36 +159,37 @@
 ////////////////////////////////////////////////////////////
 HttpCaller::~HttpCaller()
 {
-    m_impl->answered = nullptr;
+    m_impl->onResponse = nullptr;
     m_impl->timer.cancel();
     m_impl->disconnect();
 }
 
 ////////////////////////////////////////////////////////////
-void HttpCaller::get(std::string_view target, core::Duration longest, Answered answered)
+void HttpCaller::get(std::string_view target, core::Duration idleTimeout, ResponseCallback onResponse)
 {
     m_impl->request.clear();
     m_impl->request.append("GET ").append(target).append(" HTTP/1.1\r\nHost: ").append(m_impl->service.text());
     m_impl->request.append("\r\n\r\n");
-    m_impl->answered = std::move(answered);
-    m_impl->start(longest);
+    m_impl->onResponse = std::move(onResponse);
+    m_impl->start(idleTimeout);
 }
 
 ////////////////////////////////////////////////////////////
-void HttpCaller::post(std::string_view target, std::string_view body, core::Duration longest, Answered answered)
+void HttpCaller::post(std::string_view target, std::string_view body, core::Duration idleTimeout,
+                      ResponseCallback onResponse)
 {
     m_impl->request.clear();
     m_impl->request.append("POST ").append(target).append(" HTTP/1.1\r\nHost: ").append(m_impl->service.text());
     m_impl->request.append("\r\nContent-Type: application/json\r\nContent-Length: ");
     m_impl->request.append(std::to_string(body.size())).append("\r\n\r\n").append(body);
-    m_impl->answered = std::move(answered);
-    m_impl->start(longest);
+    m_impl->onResponse = std::move(onResponse);
+    m_impl->start(idleTimeout);
 }
 
 ////////////////////////////////////////////////////////////
-void HttpCaller::giveUp()
+void HttpCaller::cancel()
 {
-    m_impl->answered = nullptr;
+    m_impl->onResponse = nullptr;
     m_impl->timer.cancel();
     m_impl->disconnect();
 }
