--- a/include/sailpath/adapters/http/AnswerWriter.hpp
+++ b/include/sailpath/adapters/http/AnswerWriter.hpp
@@ -21,7 +21,7 @@
     std::vector<Header> headers;                    //!< Without framing headers
     BodyFraming         framing{BodyFraming::None}; //!< How the body's end was told to us
     std::uint64_t       contentLength{0};           //!< For `Length`
-    bool                keepLength{false};          //!< State the length although no body follows (HEAD, 304)
+    bool                lengthWithoutBody{false};   //!< State the length although no body follows (HEAD, 304)
 };
 
 ////////////////////////////////////////////////////////////
@@ -67,12 +67,12 @@
     ///
     /// \return False when some of it has been handed over already
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] bool takeBack();
+    [[nodiscard]] bool discardUnsent();
 
     ////////////////////////////////////////////////////////////
     /// \brief Break off; the connection will be closed
     ////////////////////////////////////////////////////////////
-    void cut();
+    void abort();
 
     [[nodiscard]] bool begun() const;        //!< Whether an answer was begun
     [[nodiscard]] bool mayKeepAlive() const; //!< Whether the connection can serve another request
--- a/include/sailpath/adapters/http/BackendClient.hpp
+++ b/include/sailpath/adapters/http/BackendClient.hpp
@@ -36,7 +36,7 @@
     std::string_view                      body;                       //!< The body when it is at hand
     BodySource                            stream;                     //!< Reads the body when it is not
     std::chrono::steady_clock::time_point deadline;                   //!< Until when the answer must have begun
-    bool                                  provenConnection{false};    //!< Use only a connection that was used just now
+    bool                                  reuseRecentOnly{false};     //!< Use only a connection that was used just now
 };
 
 ////////////////////////////////////////////////////////////
@@ -56,7 +56,7 @@
     Whole,        //!< The whole answer arrived
     NotSent,      //!< No byte can have reached the server
     NoAnswer,     //!< Sent, perhaps in part, and no whole head came back
-    Cut,          //!< The head came, but not the whole body
+    Truncated,    //!< The head came, but not the whole body
     SinkRefused,  //!< The sink ended the transfer
     SourceFailed, //!< The request's body could not be read
     TimedOut,     //!< No answer began before the deadline
--- a/include/sailpath/adapters/http/Ingress.hpp
+++ b/include/sailpath/adapters/http/Ingress.hpp
@@ -14,14 +14,14 @@
 ////////////////////////////////////////////////////////////
 struct IngressSettings
 {
-    settings::Endpoint listen;                                 //!< Where to listen; port 0 lets the system choose
-    std::size_t        workers{128};                           //!< Requests served at once
-    std::size_t        connections{4096};                      //!< Connections kept at once
-    std::size_t        longestHead{32UL * 1024};               //!< Largest head in bytes
-    std::size_t        largestBody{1024UL * 1024 * 1024};      //!< Largest body in bytes
-    core::Duration     headTime{std::chrono::seconds{5}};      //!< Longest time for a head to arrive
-    core::Duration     idleTime{std::chrono::seconds{60}};     //!< Longest time between requests
-    core::Duration     transferIdle{std::chrono::seconds{10}}; //!< Longest pause within a body, both ways
+    settings::Endpoint listen;                                //!< Where to listen; port 0 lets the system choose
+    std::size_t        workers{128};                          //!< Requests served at once
+    std::size_t        maxConnections{4096};                  //!< Connections kept at once
+    std::size_t        maxHeadBytes{32UL * 1024};             //!< Largest head in bytes
+    std::size_t        maxBodyBytes{1024UL * 1024 * 1024};    //!< Largest body in bytes
+    core::Duration     headTimeout{std::chrono::seconds{5}};  //!< Longest time for a head to arrive
+    core::Duration     idleTimeout{std::chrono::seconds{60}}; //!< Longest time between requests
+    core::Duration     transferIdleTimeout{std::chrono::seconds{10}}; //!< Longest pause within a body, both ways
 };
 
 ////////////////////////////////////////////////////////////
@@ -29,12 +29,12 @@
 ////////////////////////////////////////////////////////////
 struct IngressCounters
 {
-    std::uint64_t accepted{0};   //!< Connections accepted
-    std::uint64_t turnedAway{0}; //!< Connections or requests refused for lack of room
-    std::uint64_t malformed{0};  //!< Requests refused for their shape
-    std::uint64_t hangUps{0};    //!< Callers that hung up while being served
-    std::size_t   open{0};       //!< Connections open now
-    std::size_t   serving{0};    //!< Requests being served now
+    std::uint64_t accepted{0};          //!< Connections accepted
+    std::uint64_t refused{0};           //!< Connections or requests refused for lack of room
+    std::uint64_t malformed{0};         //!< Requests refused for their shape
+    std::uint64_t callerDisconnects{0}; //!< Callers that hung up while being served
+    std::size_t   open{0};              //!< Connections open now
+    std::size_t   serving{0};           //!< Requests being served now
 };
 
 ////////////////////////////////////////////////////////////
@@ -69,16 +69,16 @@
     ////////////////////////////////////////////////////////////
     /// \brief Announce the end: each answer closes its connection from here on
     ////////////////////////////////////////////////////////////
-    void leave();
+    void disableKeepAlive();
 
     ////////////////////////////////////////////////////////////
     /// \brief Stop accepting, close idle connections, wait for the requests being served
     ///
-    /// \param patience Longest wait
+    /// \param timeout Longest wait
     ///
     /// \return Whether every request was finished
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] bool finish(core::Duration patience);
+    [[nodiscard]] bool drain(core::Duration timeout);
 
     ////////////////////////////////////////////////////////////
     /// \brief Counts so far
--- a/src/programs/Entry.cpp
+++ b/src/programs/Entry.cpp
@@ -107,8 +107,8 @@
     adapters::http::IngressSettings ingress;
     ingress.listen = settings.endpoint("listen");
     ingress.workers = settings.whole("workers");
-    ingress.connections = settings.whole("connections");
-    ingress.largestBody = settings.whole("largest-body");
+    ingress.maxConnections = settings.whole("connections");
+    ingress.maxBodyBytes = settings.whole("largest-body");
     return ingress;
 }
 
@@ -185,10 +185,10 @@
     log.write(ports::Level::Info, "leaving", {});
     leaving = true;
     control.leave();
-    ingress.leave();
+    ingress.disableKeepAlive();
     // A second signal cuts the wait for the balancer short, not the requests in flight.
     (void)signals.wait(settings.milliseconds("leave-ms"));
-    const bool finished = ingress.finish(settings.milliseconds("finish-ms"));
+    const bool finished = ingress.drain(settings.milliseconds("finish-ms"));
     log.write(finished ? ports::Level::Info : ports::Level::Error, "stopped", {{"allFinished", finished}});
     return finished ? adapters::settings::ExitOk : adapters::settings::ExitFailed;
 }
--- a/src/programs/EntryStatus.cpp
+++ b/src/programs/EntryStatus.cpp
@@ -81,9 +81,9 @@
         addGauge(text, "sailpath_configuration_revision", static_cast<double>(control.revision));
         addGauge(text, "sailpath_connections_open", static_cast<double>(ingress.open));
         addGauge(text, "sailpath_requests_serving", static_cast<double>(ingress.serving));
-        addCounter(text, "sailpath_requests_turned_away_total", ingress.turnedAway);
+        addCounter(text, "sailpath_requests_turned_away_total", ingress.refused);
         addCounter(text, "sailpath_requests_malformed_total", ingress.malformed);
-        addCounter(text, "sailpath_caller_hang_ups_total", ingress.hangUps);
+        addCounter(text, "sailpath_caller_hang_ups_total", ingress.callerDisconnects);
         addCounter(text, "sailpath_probes_total", control.probes);
         addCounter(text, "sailpath_store_calls_total", control.storeCalls);
         text += "# TYPE sailpath_probe_cost_milliseconds_total counter\n";
--- a/src/sailpath/adapters/http/AnswerWriter.cpp
+++ b/src/sailpath/adapters/http/AnswerWriter.cpp
@@ -46,7 +46,7 @@
         m_pending.append(header.name).append(": ").append(header.value).append("\r\n");
     if (m_chunked)
         m_pending += "Transfer-Encoding: chunked\r\n";
-    else if (m_stated || head.keepLength)
+    else if (m_stated || head.lengthWithoutBody)
         m_pending += "Content-Length: " + std::to_string(head.contentLength) + "\r\n";
     else if (m_noBody && head.status != 204 && head.status != 304)
         m_pending += "Content-Length: 0\r\n";
@@ -67,7 +67,7 @@
         return true;
     if (m_stated && data.size() > m_left)
     {
-        cut();
+        abort();
         return false;
     }
     m_left -= m_stated ? data.size() : 0;
@@ -86,7 +86,7 @@
         return false;
     if (m_stated && m_left > 0)
     {
-        cut();
+        abort();
         return false;
     }
     if (m_chunked)
@@ -95,7 +95,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool AnswerWriter::takeBack()
+bool AnswerWriter::discardUnsent()
 {
     if (m_handedOver || m_broken)
         return false;
@@ -105,7 +105,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-void AnswerWriter::cut()
+void AnswerWriter::abort()
 {
     // What was held back is dropped too: a caller must not take the part for the whole.
     m_pending.clear();
@@ -135,7 +135,7 @@
         const net::IoResult result = m_socket.write(left, m_timeout);
         if (result.status != net::IoStatus::Done)
         {
-            cut();
+            abort();
             return false;
         }
         left = left.subspan(result.bytes);
--- a/src/sailpath/adapters/http/BackendClient.cpp
+++ b/src/sailpath/adapters/http/BackendClient.cpp
@@ -67,7 +67,7 @@
     }
     if (method == "HEAD" || head.status == 204 || head.status == 304)
     {
-        head.keepLength = head.framing == BodyFraming::Length && head.status != 204;
+        head.lengthWithoutBody = head.framing == BodyFraming::Length && head.status != 204;
         head.framing = BodyFraming::None;
     }
     return head;
@@ -109,7 +109,7 @@
         if (m_sourceFailed)
             return ExchangeEnd::SourceFailed;
         if (m_headGiven)
-            return ExchangeEnd::Cut;
+            return ExchangeEnd::Truncated;
         return m_stream.timedOut() ? ExchangeEnd::TimedOut : ExchangeEnd::NoAnswer;
     }
 
@@ -205,7 +205,7 @@
                                     const AnswerSink& sink, Cancellation& cancellation)
 {
     const std::string server = address + ":" + std::to_string(port);
-    net::TcpSocket    socket = m_pool.take(server, request.provenConnection ? provenIdle : longestIdle);
+    net::TcpSocket    socket = m_pool.take(server, request.reuseRecentOnly ? provenIdle : longestIdle);
     if (!socket.isOpen())
     {
         const auto left =
--- a/src/sailpath/adapters/http/Ingress.cpp
+++ b/src/sailpath/adapters/http/Ingress.cpp
@@ -145,10 +145,10 @@
     bool full = false;
     {
         const std::lock_guard<std::mutex> lock(mutex);
-        full = connections.size() >= settings.connections;
+        full = connections.size() >= settings.maxConnections;
         connections.insert(connection);
         ++counts.accepted;
-        counts.turnedAway += full ? 1 : 0;
+        counts.refused += full ? 1 : 0;
     }
     if (full)
         refuseEarly(connection, 503, "too many connections");
@@ -197,8 +197,8 @@
     while (true)
     {
         const auto end = connection->buffered.find(headEnd);
-        const bool complete = end != std::string::npos && end + headEnd.size() <= settings.longestHead;
-        if (!complete && connection->buffered.size() > settings.longestHead)
+        const bool complete = end != std::string::npos && end + headEnd.size() <= settings.maxHeadBytes;
+        if (!complete && connection->buffered.size() > settings.maxHeadBytes)
         {
             refuseEarly(connection, 431, "request head too large");
             return;
@@ -242,7 +242,7 @@
     const std::lock_guard<std::mutex> lock(mutex);
     if (counts.serving >= settings.workers)
     {
-        ++counts.turnedAway;
+        ++counts.refused;
         return false;
     }
     ++counts.serving;
@@ -262,7 +262,7 @@
     const auto* const error = std::get_if<HeadError>(&head);
     if (error)
     {
-        (void)connection->io.write(plainRefusal(error->status, error->message), settings.transferIdle);
+        (void)connection->io.write(plainRefusal(error->status, error->message), settings.transferIdleTimeout);
         linger(connection);
     }
     else
@@ -272,7 +272,7 @@
     const std::lock_guard<std::mutex> lock(mutex);
     --counts.serving;
     counts.malformed += error ? 1 : 0;
-    counts.hangUps += connection->cancellation->cancelled() ? 1 : 0;
+    counts.callerDisconnects += connection->cancellation->cancelled() ? 1 : 0;
     return keep;
 }
 
@@ -289,13 +289,13 @@
         }
     }
     if (!parser)
-        parser = std::make_unique<priv::CallerServer>(handler, settings.largestBody);
+        parser = std::make_unique<priv::CallerServer>(handler, settings.maxBodyBytes);
 
-    AnswerWriter       answer(connection->io, request.http10, request.keepAlive && !leaving, settings.transferIdle);
-    priv::CallerStream stream(connection->io, connection->buffered, settings.transferIdle);
+    AnswerWriter answer(connection->io, request.http10, request.keepAlive && !leaving, settings.transferIdleTimeout);
+    priv::CallerStream stream(connection->io, connection->buffered, settings.transferIdleTimeout);
     parser->serveOne(stream, request, connection->address, answer, *connection->cancellation, connection->bodyRead);
     if (!answer.begun())
-        (void)connection->io.write(plainRefusal(400, "malformed request"), settings.transferIdle);
+        (void)connection->io.write(plainRefusal(400, "malformed request"), settings.transferIdleTimeout);
     const bool keep =
         answer.begun() && answer.mayKeepAlive() && connection->bodyRead && !connection->cancellation->cancelled();
     if (!keep && !connection->bodyRead)
@@ -369,14 +369,14 @@
             connection.cancellation->cancel();
         break;
     case ConnectionState::Head:
-        if (age > settings.headTime && connection.giveUp(ConnectionState::Head))
+        if (age > settings.headTimeout && connection.giveUp(ConnectionState::Head))
         {
             (void)connection.io.write(plainRefusal(408, "the request's head took too long"), core::Duration{0});
             connection.io.shutdown();
         }
         break;
     case ConnectionState::Idle:
-        if ((age > settings.idleTime || (closing && connection.io.isIdle())) &&
+        if ((age > settings.idleTimeout || (closing && connection.io.isIdle())) &&
             connection.giveUp(ConnectionState::Idle))
             connection.io.shutdown();
         break;
@@ -401,13 +401,13 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Ingress::leave()
+void Ingress::disableKeepAlive()
 {
     m_impl->leaving = true;
 }
 
 ////////////////////////////////////////////////////////////
-bool Ingress::finish(core::Duration patience)
+bool Ingress::drain(core::Duration timeout)
 {
     m_impl->leaving = true;
     m_impl->closing = true;
@@ -417,7 +417,7 @@
                    asio::error_code ignored;
                    m_impl->acceptor.close(ignored);
                });
-    const auto until = Clock::now() + patience;
+    const auto until = Clock::now() + timeout;
     while (counters().open > 0)
     {
         if (Clock::now() > until)
--- a/src/sailpath/entry/Attempt.cpp
+++ b/src/sailpath/entry/Attempt.cpp
@@ -141,7 +141,7 @@
     node::Outcome outcome = m_outcome;
     // Nothing of a small answer that was cut has left yet; the caller can be told, or the request sent again.
     const bool    complete = end == ExchangeEnd::Whole;
-    const bool    passedOn = m_caller.answer.begun() && (complete || !m_caller.answer.takeBack());
+    const bool    passedOn = m_caller.answer.begun() && (complete || !m_caller.answer.discardUnsent());
     outcome.bodyAtHand = !m_request.stream && !passedOn;
     switch (end)
     {
@@ -162,7 +162,7 @@
         break;
     case ExchangeEnd::NoAnswer:
     case ExchangeEnd::TimedOut:
-    case ExchangeEnd::Cut:
+    case ExchangeEnd::Truncated:
         outcome.result = AttemptResult::Unknown;
         break;
     }
--- a/src/sailpath/entry/Proxy.cpp
+++ b/src/sailpath/entry/Proxy.cpp
@@ -105,7 +105,7 @@
 {
     if (caller.answer.begun())
     {
-        caller.answer.cut();
+        caller.answer.abort();
         return;
     }
     adapters::http::AnswerHead head;
@@ -128,7 +128,7 @@
     const std::string text =
         "refused: " + std::string(toString(refusal.reason)) + "; " + std::string(toString(refusal.ran)) + "\n";
     head.framing = caller.head.method == "HEAD" ? BodyFraming::None : BodyFraming::Length;
-    head.keepLength = caller.head.method == "HEAD";
+    head.lengthWithoutBody = caller.head.method == "HEAD";
     head.contentLength = text.size();
     caller.answer.begin(head);
     (void)caller.answer.body(text);
@@ -198,7 +198,7 @@
     std::string body;
     if (isSmallBody(caller.head) && !readSmallBody(caller, body))
     {
-        caller.answer.cut();
+        caller.answer.abort();
         return;
     }
     ServerRequest request;
@@ -265,7 +265,7 @@
     request.headers = serverHeaders(caller, attemptId);
     request.headers.push_back({std::string(headerDeadlineMs), std::to_string(std::max<std::int64_t>(left, 1))});
     request.deadline = toSteady(step.deadline);
-    request.provenConnection = !step.repeatable;
+    request.reuseRecentOnly = !step.repeatable;
     if (m_log.writes(ports::Level::Debug))
         m_log.write(ports::Level::Debug, "attempt-sent",
                     {{"request", id}, {"out", attemptId}, {"server", step.target->server}, {"attempt", step.attempt}});
--- a/test/entry/Proxy.test.cpp
+++ b/test/entry/Proxy.test.cpp
@@ -45,8 +45,8 @@
         adapters::http::IngressSettings settings;
         settings.listen = {"127.0.0.1", 0};
         settings.workers = 32;
-        settings.headTime = 300ms;
-        settings.transferIdle = 1s;
+        settings.headTimeout = 300ms;
+        settings.transferIdleTimeout = 1s;
         ingress.emplace(settings, proxy);
         ticker = std::thread(
             [this]
@@ -292,9 +292,9 @@
         (void)socket.write(std::string("GET /a HTTP/1.1\r\nHost: portal.admissa\r\n\r\n"), 1s);
         std::this_thread::sleep_for(50ms);
     }
-    for (int i = 0; i < 500 && ingress->counters().hangUps == 0; ++i)
+    for (int i = 0; i < 500 && ingress->counters().callerDisconnects == 0; ++i)
         std::this_thread::sleep_for(10ms);
-    BOOST_TEST(ingress->counters().hangUps == 1U);
+    BOOST_TEST(ingress->counters().callerDisconnects == 1U);
     BOOST_TEST(ingress->counters().serving == 0U);
 }
 
@@ -398,8 +398,8 @@
             });
     while (ingress->counters().serving < 3)
         std::this_thread::sleep_for(1ms);
-    ingress->leave();
-    BOOST_TEST(ingress->finish(20s));
+    ingress->disableKeepAlive();
+    BOOST_TEST(ingress->drain(20s));
     for (std::thread& caller : callers)
         caller.join();
     BOOST_TEST(answered >= 3);
