--- a/include/sailpath/adapters/http/AnswerWriter.hpp
+++ b/include/sailpath/adapters/http/AnswerWriter.hpp
@@ -12,86 +12,86 @@
 namespace sailpath::adapters::http
 {
 ////////////////////////////////////////////////////////////
-/// \brief The head of an answer to a caller
+/// \brief Head of an answer to a caller
 ////////////////////////////////////////////////////////////
 struct AnswerHead
 {
     int                 status{200};                //!< HTTP status
     std::string         reason;                     //!< Reason phrase
-    std::vector<Header> headers;                    //!< Without framing headers
-    BodyFraming         framing{BodyFraming::None}; //!< How the body's end was told to us
-    std::uint64_t       contentLength{0};           //!< For `Length`
-    bool                lengthWithoutBody{false};   //!< State the length although no body follows (HEAD, 304)
+    std::vector<Header> headers;                    //!< Headers except the framing headers, which the writer adds
+    BodyFraming         framing{BodyFraming::None}; //!< How the source of the answer marks the end of the body
+    std::uint64_t contentLength{0}; //!< Body length in bytes when `framing` is `Length` or `lengthWithoutBody` is set
+    bool          lengthWithoutBody{false}; //!< Send Content-Length although no body follows (HEAD, 304)
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Writes one answer to a caller's connection, streaming its body
+/// \brief Writes one answer to a caller's connection and streams its body
 ///
-/// An answer that is cut off is never made to look whole: its connection is
-/// closed before the stated length or the last chunk is reached.
+/// A truncated answer never looks complete: the connection is closed before
+/// the announced length or the last chunk has been sent.
 ////////////////////////////////////////////////////////////
 class AnswerWriter
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Prepare to answer one request
+    /// \brief Create a writer for the answer to one request
     ///
     /// \param socket    The caller's connection
-    /// \param http10    The caller speaks HTTP/1.0
-    /// \param keepAlive Keep the connection after this answer
-    /// \param timeout   Longest wait for the caller to take bytes
+    /// \param http10    Whether the caller speaks HTTP/1.0
+    /// \param keepAlive Whether to keep the connection open after the answer
+    /// \param timeout   Longest wait for each write to the connection
     ////////////////////////////////////////////////////////////
     AnswerWriter(const net::TcpSocket& socket, bool http10, bool keepAlive, core::Duration timeout);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Begin the answer
+    /// \brief Buffer the head of the answer
     ////////////////////////////////////////////////////////////
     void begin(const AnswerHead& head);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Add a piece of the body
+    /// \brief Append a piece of the body, sending the buffered bytes when the buffer is full
     ///
-    /// \return False when the caller does not take it
+    /// \return False when the answer is aborted, the connection fails or the body exceeds the announced length
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool body(std::string_view data);
 
     ////////////////////////////////////////////////////////////
-    /// \brief End the answer
+    /// \brief Complete the answer and send the buffered bytes
     ///
-    /// \return Whether all of it was handed over
+    /// \return Whether the whole answer was written to the connection
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool end();
 
     ////////////////////////////////////////////////////////////
-    /// \brief Take back what was begun, so that another answer can be given
+    /// \brief Discard an answer of which nothing was sent, so that another can be written
     ///
-    /// \return False when some of it has been handed over already
+    /// \return False when sending has started or the answer is aborted
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool discardUnsent();
 
     ////////////////////////////////////////////////////////////
-    /// \brief Break off; the connection will be closed
+    /// \brief Abort the answer and drop buffered bytes; the connection is not kept
     ////////////////////////////////////////////////////////////
     void abort();
 
-    [[nodiscard]] bool begun() const;        //!< Whether an answer was begun
-    [[nodiscard]] bool mayKeepAlive() const; //!< Whether the connection can serve another request
+    [[nodiscard]] bool begun() const;        //!< Whether the head of an answer has been buffered
+    [[nodiscard]] bool mayKeepAlive() const; //!< Whether the connection can serve another request after the answer
 
 private:
     [[nodiscard]] bool flush();
 
-    const net::TcpSocket& m_socket;            //!< The caller's connection
-    bool                  m_http10;            //!< The caller speaks HTTP/1.0
-    bool                  m_keepAlive;         //!< Keep the connection
-    core::Duration        m_timeout;           //!< Longest wait
-    std::string           m_pending;           //!< Bytes not handed over yet
-    bool                  m_begun{false};      //!< The head is written
-    bool                  m_handedOver{false}; //!< Some bytes have left
-    bool                  m_broken{false};     //!< Cut, or the caller is gone
-    bool                  m_chunked{false};    //!< The body is written in chunks
-    bool                  m_noBody{false};     //!< No body follows
-    std::uint64_t         m_left{0};           //!< Bytes still owed when a length was stated
-    bool                  m_stated{false};     //!< A length was stated
+    const net::TcpSocket& m_socket;             //!< Connection of the caller
+    bool                  m_http10;             //!< Whether the caller speaks HTTP/1.0
+    bool                  m_keepAlive;          //!< Whether to keep the connection open after the answer
+    core::Duration        m_timeout;            //!< Longest wait for each write
+    std::string           m_pending;            //!< Buffered bytes that have not been sent
+    bool                  m_begun{false};       //!< Whether the head has been buffered
+    bool                  m_sendStarted{false}; //!< Whether a write to the connection was attempted
+    bool                  m_broken{false};      //!< Whether the answer was aborted or the connection failed
+    bool                  m_chunked{false};     //!< Whether the body is sent with chunked coding
+    bool                  m_noBody{false};      //!< Whether the answer has no body
+    std::uint64_t         m_remaining{0};       //!< Body bytes left to write when a length was announced
+    bool                  m_hasLength{false};   //!< Whether a body length was announced
 };
 
 } // namespace sailpath::adapters::http
--- a/include/sailpath/adapters/http/BackendClient.hpp
+++ b/include/sailpath/adapters/http/BackendClient.hpp
@@ -14,38 +14,38 @@
 namespace sailpath::adapters::http
 {
 ////////////////////////////////////////////////////////////
-/// \brief Takes pieces of a body; false ends the transfer
+/// \brief Callback that receives one piece of a body; returning false ends the transfer
 ////////////////////////////////////////////////////////////
 using BodySink = std::function<bool(std::string_view)>;
 
 ////////////////////////////////////////////////////////////
-/// \brief Reads a body piece by piece into a sink; false when it could not be read whole
+/// \brief Callback that reads a body piece by piece into a sink; returns false when the body could not be read completely
 ////////////////////////////////////////////////////////////
 using BodySource = std::function<bool(const BodySink&)>;
 
 ////////////////////////////////////////////////////////////
-/// \brief A request as it is sent to a backend server
+/// \brief Request to a backend server
 ////////////////////////////////////////////////////////////
 struct ServerRequest
 {
     std::string                           method;                     //!< HTTP method
     std::string                           target;                     //!< Request target
-    std::vector<Header>                   headers;                    //!< Without framing headers
-    BodyFraming                           framing{BodyFraming::None}; //!< How the body's end is told
-    std::uint64_t                         contentLength{0};           //!< For `Length`
-    std::string_view                      body;                       //!< The body when it is at hand
-    BodySource                            stream;                     //!< Reads the body when it is not
-    std::chrono::steady_clock::time_point deadline;                   //!< Until when the answer must have begun
-    bool                                  reuseRecentOnly{false};     //!< Use only a connection that was used just now
+    std::vector<Header>                   headers;                    //!< Headers except the framing headers
+    BodyFraming                           framing{BodyFraming::None}; //!< How the request marks the end of its body
+    std::uint64_t                         contentLength{0}; //!< Body length in bytes when `framing` is `Length`
+    std::string_view                      body;             //!< Buffered body; unused when `stream` is set
+    BodySource                            stream;           //!< Reads a body that is not buffered
+    std::chrono::steady_clock::time_point deadline;         //!< Latest time for the head of the answer to arrive
+    bool reuseRecentOnly{false}; //!< Reuse only a recently used pooled connection, otherwise open a new one
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Receives an answer as it arrives; false ends the transfer
+/// \brief Callbacks that receive an answer as it arrives; returning false ends the transfer
 ////////////////////////////////////////////////////////////
 struct AnswerSink
 {
-    std::function<bool(const AnswerHead&)> head; //!< Called once
-    BodySink                               body; //!< Called for each piece
+    std::function<bool(const AnswerHead&)> head; //!< Called once with the head
+    BodySink                               body; //!< Called for each piece of the body
 };
 
 ////////////////////////////////////////////////////////////
@@ -53,18 +53,18 @@
 ////////////////////////////////////////////////////////////
 enum class ExchangeEnd
 {
-    Whole,        //!< The whole answer arrived
-    NotSent,      //!< No byte can have reached the server
-    NoAnswer,     //!< Sent, perhaps in part, and no whole head came back
-    Truncated,    //!< The head came, but not the whole body
+    Whole,        //!< The complete answer arrived
+    NotSent,      //!< No byte of the request can have reached the server
+    NoAnswer,     //!< The request was sent at least in part, but no complete head came back
+    Truncated,    //!< The head of the answer arrived, but not the complete body
     SinkRefused,  //!< The sink ended the transfer
-    SourceFailed, //!< The request's body could not be read
-    TimedOut,     //!< No answer began before the deadline
-    Cancelled     //!< Cancelled by another thread
+    SourceFailed, //!< The body of the request could not be read
+    TimedOut,     //!< A wait ran out before the head of the answer arrived
+    Cancelled     //!< Another thread cancelled the exchange
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Exchanges requests and answers with backend servers over kept connections
+/// \brief Sends requests to backend servers over persistent connections and receives their answers
 ////////////////////////////////////////////////////////////
 class BackendClient
 {
@@ -72,39 +72,41 @@
     ////////////////////////////////////////////////////////////
     /// \brief Create a client
     ///
-    /// \param connectTimeout Longest time to connect
-    /// \param bodyIdle       Longest pause within a body
+    /// \param connectTimeout  Longest wait for a connection to be established
+    /// \param bodyIdleTimeout Longest pause after the head of an answer has arrived
     ////////////////////////////////////////////////////////////
-    BackendClient(core::Duration connectTimeout, core::Duration bodyIdle);
+    BackendClient(core::Duration connectTimeout, core::Duration bodyIdleTimeout);
 
     ////////////////////////////////////////////////////////////
     /// \brief Send one request and receive its answer
     ///
-    /// Never sends more than once.
+    /// A request is never sent a second time.
     ///
-    /// \param address      IP number
-    /// \param port         TCP port
-    /// \param request      What to send
+    /// \param address      IP address of the server
+    /// \param port         TCP port of the server
+    /// \param request      Request to send
     /// \param sink         Receives the answer
-    /// \param cancellation May end the exchange from another thread
+    /// \param cancellation Lets another thread end the exchange
     ////////////////////////////////////////////////////////////
     [[nodiscard]] ExchangeEnd exchange(const std::string& address, std::uint16_t port, const ServerRequest& request,
                                        const AnswerSink& sink, Cancellation& cancellation);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Whether a server has closed all connections that were kept to it; false when none was
+    /// \brief Drop the closed idle connections of a server
+    ///
+    /// \return Whether the server had idle connections and has closed all of them
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool allClosed(const std::string& address, std::uint16_t port);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Close connections that have been idle too long
+    /// \brief Close connections that have exceeded the maximum idle time
     ////////////////////////////////////////////////////////////
     void prune();
 
 private:
-    core::Duration m_connectTimeout; //!< Longest time to connect
-    core::Duration m_bodyIdle;       //!< Longest pause within a body
-    ConnectionPool m_pool;           //!< Kept connections
+    core::Duration m_connectTimeout;  //!< Longest wait for a connection to be established
+    core::Duration m_bodyIdleTimeout; //!< Longest pause after the head of an answer has arrived
+    ConnectionPool m_pool;            //!< Idle connections
 };
 
 } // namespace sailpath::adapters::http
--- a/include/sailpath/adapters/http/CallerRequest.hpp
+++ b/include/sailpath/adapters/http/CallerRequest.hpp
@@ -10,19 +10,19 @@
 namespace sailpath::adapters::http
 {
 ////////////////////////////////////////////////////////////
-/// \brief A caller's request while it is being served
+/// \brief Request of a caller while it is being served
 ////////////////////////////////////////////////////////////
 struct CallerRequest
 {
-    const RequestHead& head;         //!< Checked head
-    const std::string& address;      //!< The caller's IP number
-    const BodySource&  body;         //!< Reads the body, once
-    AnswerWriter&      answer;       //!< Takes the answer
-    Cancellation&      cancellation; //!< Set when the caller hangs up
+    const RequestHead& head;         //!< Validated head of the request
+    const std::string& address;      //!< IP address of the caller
+    const BodySource&  body;         //!< Reads the body; can be called once only
+    AnswerWriter&      answer;       //!< Writes the answer
+    Cancellation&      cancellation; //!< Cancelled when the caller disconnects
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Port: what serves callers' requests, on many threads at once
+/// \brief Port that serves requests of callers; called by many threads at once
 ////////////////////////////////////////////////////////////
 class RequestHandler
 {
@@ -30,7 +30,7 @@
     virtual ~RequestHandler() = default;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Serve one request; the answer must be ended or cut on return
+    /// \brief Serve one request; the answer must be complete or aborted on return
     ////////////////////////////////////////////////////////////
     virtual void serve(CallerRequest& request) = 0;
 };
--- a/include/sailpath/adapters/http/Cancellation.hpp
+++ b/include/sailpath/adapters/http/Cancellation.hpp
@@ -8,45 +8,42 @@
 namespace sailpath::adapters::http
 {
 ////////////////////////////////////////////////////////////
-/// \brief Lets one thread end the work that another does for a request
+/// \brief Lets one thread cancel a request that another thread is serving
 ///
-/// The reactor cancels when the caller hangs up; the connection to the
-/// backend server is then broken, which tells the server to stop.
+/// The reactor cancels a request when its caller disconnects. Cancelling shuts
+/// down the connection to the backend server, which tells the server to stop.
 ////////////////////////////////////////////////////////////
 class Cancellation
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Name the connection to break
+    /// \brief Set the connection that cancelling shuts down
     ///
-    /// \return False when the request is cancelled already
+    /// \return False when the request is already cancelled
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool attach(const net::TcpSocket& socket);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Forget the connection; it may be closed from here on
+    /// \brief Clear the connection, which may be closed afterwards
     ////////////////////////////////////////////////////////////
     void detach();
 
     ////////////////////////////////////////////////////////////
-    /// \brief Cancel
+    /// \brief Cancel the request and shut down its connection
     ////////////////////////////////////////////////////////////
     void cancel();
 
     ////////////////////////////////////////////////////////////
-    /// \brief Forget everything, for the next request
+    /// \brief Clear the connection and the cancelled flag for the next request
     ////////////////////////////////////////////////////////////
     void reset();
 
-    ////////////////////////////////////////////////////////////
-    /// \brief Whether the request is cancelled
-    ////////////////////////////////////////////////////////////
     [[nodiscard]] bool cancelled() const;
 
 private:
-    std::mutex            m_mutex;            //!< Guards the connection
-    const net::TcpSocket* m_socket{nullptr};  //!< Connection to break
-    std::atomic<bool>     m_cancelled{false}; //!< Set once
+    std::mutex            m_mutex;            //!< Guards m_socket
+    const net::TcpSocket* m_socket{nullptr};  //!< Connection that cancelling shuts down
+    std::atomic<bool>     m_cancelled{false}; //!< Whether the request is cancelled
 };
 
 } // namespace sailpath::adapters::http
--- a/include/sailpath/adapters/http/ConnectionPool.hpp
+++ b/include/sailpath/adapters/http/ConnectionPool.hpp
@@ -12,9 +12,10 @@
 namespace sailpath::adapters::http
 {
 ////////////////////////////////////////////////////////////
-/// \brief Idle connections to backend servers, to use again
+/// \brief Holds idle connections to backend servers for reuse
 ///
-/// Thread-safe. The youngest is used first, so that surplus ones age out.
+/// Thread-safe. The most recently used connection is reused first, so that
+/// surplus connections reach the maximum idle time and are closed.
 ////////////////////////////////////////////////////////////
 class ConnectionPool
 {
@@ -22,49 +23,51 @@
     ////////////////////////////////////////////////////////////
     /// \brief Create an empty pool
     ///
-    /// \param mostIdle Idle connections kept to each server
-    /// \param longest  Longest time a connection is kept idle
+    /// \param maxIdlePerServer Largest number of idle connections to one server
+    /// \param maxIdleTime      Longest time a connection is kept idle
     ////////////////////////////////////////////////////////////
-    ConnectionPool(std::size_t mostIdle, core::Duration longest);
+    ConnectionPool(std::size_t maxIdlePerServer, core::Duration maxIdleTime);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Take an idle connection that was used a short while ago and shows no sign of an end
+    /// \brief Take an idle connection that was used recently and is still open with no unread bytes
     ///
-    /// \param server  Address and port as text
-    /// \param longest Longest idle time that is acceptable
+    /// \param server      Address and port as text
+    /// \param maxIdleTime Longest acceptable time since the last use of the connection
     ///
-    /// \return A closed socket when there is none
+    /// \return A closed socket when no connection qualifies
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] net::TcpSocket take(const std::string& server, core::Duration longest);
+    [[nodiscard]] net::TcpSocket take(const std::string& server, core::Duration maxIdleTime);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Keep a connection whose last answer was read whole
+    /// \brief Return a connection whose last answer was read completely; it is closed when the pool is full
     ////////////////////////////////////////////////////////////
     void give(const std::string& server, net::TcpSocket socket);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Whether a server has closed all connections that were kept to it; false when none was
+    /// \brief Drop the closed idle connections of a server
+    ///
+    /// \return Whether the server had idle connections and has closed all of them
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool allClosed(const std::string& server);
 
     ////////////////////////////////////////////////////////////
-    /// \brief Close connections that have been idle too long
+    /// \brief Close connections that have exceeded the maximum idle time
     ////////////////////////////////////////////////////////////
     void prune();
 
 private:
     using Clock = std::chrono::steady_clock;
 
-    struct Idle
+    struct IdleConnection
     {
-        net::TcpSocket    socket; //!< The connection
-        Clock::time_point since;  //!< End of its last use
+        net::TcpSocket    socket; //!< Open connection
+        Clock::time_point since;  //!< End of the last use
     };
 
-    std::size_t                        m_mostIdle; //!< Kept to each server
-    core::Duration                     m_longest;  //!< Kept this long
-    std::mutex                         m_mutex;    //!< Guards what follows
-    core::StringMap<std::vector<Idle>> m_idle;     //!< By server, oldest first
+    std::size_t    m_maxIdlePerServer;                   //!< Largest number of idle connections to one server
+    core::Duration m_maxIdleTime;                        //!< Longest time a connection is kept idle
+    std::mutex     m_mutex;                              //!< Guards m_idle
+    core::StringMap<std::vector<IdleConnection>> m_idle; //!< Idle connections by server, least recently used first
 };
 
 } // namespace sailpath::adapters::http
--- a/include/sailpath/adapters/http/Ingress.hpp
+++ b/include/sailpath/adapters/http/Ingress.hpp
@@ -10,48 +10,49 @@
 namespace sailpath::adapters::http
 {
 ////////////////////////////////////////////////////////////
-/// \brief Limits on callers' connections
+/// \brief Listening address and limits for connections of callers
 ////////////////////////////////////////////////////////////
 struct IngressSettings
 {
-    settings::Endpoint listen;                                //!< Where to listen; port 0 lets the system choose
-    std::size_t        workers{128};                          //!< Requests served at once
-    std::size_t        maxConnections{4096};                  //!< Connections kept at once
-    std::size_t        maxHeadBytes{32UL * 1024};             //!< Largest head in bytes
-    std::size_t        maxBodyBytes{1024UL * 1024 * 1024};    //!< Largest body in bytes
-    core::Duration     headTimeout{std::chrono::seconds{5}};  //!< Longest time for a head to arrive
-    core::Duration     idleTimeout{std::chrono::seconds{60}}; //!< Longest time between requests
-    core::Duration     transferIdleTimeout{std::chrono::seconds{10}}; //!< Longest pause within a body, both ways
+    settings::Endpoint listen;                    //!< Address and port to listen on; port 0 lets the system choose
+    std::size_t        workers{128};              //!< Largest number of requests served at once
+    std::size_t        maxConnections{4096};      //!< Largest number of open connections
+    std::size_t        maxHeadBytes{32UL * 1024}; //!< Largest request head
+    std::size_t        maxBodyBytes{1024UL * 1024 * 1024};   //!< Largest request body
+    core::Duration     headTimeout{std::chrono::seconds{5}}; //!< Longest time from the first byte of a head to its end
+    core::Duration idleTimeout{std::chrono::seconds{60}};    //!< Longest time a connection stays open without a request
+    core::Duration transferIdleTimeout{
+        std::chrono::seconds{10}}; //!< Longest pause within the body of a request or an answer
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief What callers' connections amounted to
+/// \brief Counters of connections and requests
 ////////////////////////////////////////////////////////////
 struct IngressCounters
 {
     std::uint64_t accepted{0};          //!< Connections accepted
-    std::uint64_t refused{0};           //!< Connections or requests refused for lack of room
-    std::uint64_t malformed{0};         //!< Requests refused for their shape
-    std::uint64_t callerDisconnects{0}; //!< Callers that hung up while being served
-    std::size_t   open{0};              //!< Connections open now
-    std::size_t   serving{0};           //!< Requests being served now
+    std::uint64_t refused{0};           //!< Connections or requests refused because a limit was reached
+    std::uint64_t malformed{0};         //!< Requests refused because of an invalid or unsupported head
+    std::uint64_t callerDisconnects{0}; //!< Callers that disconnected while a request was being served
+    std::size_t   open{0};              //!< Connections currently open
+    std::size_t   serving{0};           //!< Requests currently being served
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Accepts callers' connections and hands their requests to a handler
+/// \brief Accepts connections of callers and passes their requests to a handler
 ///
-/// Slow and idle callers hold no thread: a reactor waits for them. The thread
-/// that reads the end of a head serves the request itself, without handing
-/// it to another, while others go on running the reactor.
+/// Slow and idle callers occupy no thread, because a reactor waits for their
+/// bytes. The thread that reads the end of a head serves the request itself,
+/// without a switch to another thread, while other threads run the reactor.
 ////////////////////////////////////////////////////////////
 class Ingress
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Listen and start the threads
+    /// \brief Listen for connections and start the threads
     ///
-    /// \param settings Limits
-    /// \param handler  Serves the requests; outlives the ingress
+    /// \param settings Listening address and limits
+    /// \param handler  Serves the requests; must outlive the ingress
     ///
     /// \throws std::system_error when the address cannot be listened on
     ////////////////////////////////////////////////////////////
@@ -61,28 +62,22 @@
     Ingress(const Ingress&) = delete;
     Ingress& operator=(const Ingress&) = delete;
 
-    ////////////////////////////////////////////////////////////
-    /// \brief Port that is listened on
-    ////////////////////////////////////////////////////////////
-    [[nodiscard]] std::uint16_t port() const;
+    [[nodiscard]] std::uint16_t port() const; //!< Port the ingress listens on
 
     ////////////////////////////////////////////////////////////
-    /// \brief Announce the end: each answer closes its connection from here on
+    /// \brief Close each connection after its next answer, in preparation for shutdown
     ////////////////////////////////////////////////////////////
     void disableKeepAlive();
 
     ////////////////////////////////////////////////////////////
-    /// \brief Stop accepting, close idle connections, wait for the requests being served
+    /// \brief Stop accepting, close idle connections and wait for the requests being served
     ///
     /// \param timeout Longest wait
     ///
-    /// \return Whether every request was finished
+    /// \return Whether all connections were closed within the timeout
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool drain(core::Duration timeout);
 
-    ////////////////////////////////////////////////////////////
-    /// \brief Counts so far
-    ////////////////////////////////////////////////////////////
     [[nodiscard]] IngressCounters counters() const;
 
 private:
--- a/include/sailpath/adapters/http/RequestHead.hpp
+++ b/include/sailpath/adapters/http/RequestHead.hpp
@@ -9,82 +9,83 @@
 namespace sailpath::adapters::http
 {
 ////////////////////////////////////////////////////////////
-/// \brief One header line, its value exactly as it was received
+/// \brief Header line with its value as received
 ////////////////////////////////////////////////////////////
 struct Header
 {
-    std::string name;  //!< As received; compare without regard to case
-    std::string value; //!< Without surrounding blanks
+    std::string name;  //!< Name as received; compared case-insensitively
+    std::string value; //!< Value without surrounding spaces and tabs
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief How the end of a body is told
+/// \brief How a message marks the end of its body
 ////////////////////////////////////////////////////////////
 enum class BodyFraming
 {
-    None,    //!< There is no body
-    Length,  //!< By Content-Length
-    Chunked, //!< By the last chunk
-    UntilEnd //!< By the end of the connection (answers only)
+    None,    //!< No body
+    Length,  //!< Content-Length gives the size
+    Chunked, //!< The last chunk of the chunked coding ends the body
+    UntilEnd //!< The end of the connection ends the body (answers only)
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief The head of a request, checked
+/// \brief Validated head of a request
 ////////////////////////////////////////////////////////////
 struct RequestHead
 {
     std::string         method;                     //!< HTTP method
     std::string         target;                     //!< Request target as received
-    std::string         path;                       //!< Target without the query
-    bool                http10{false};              //!< The caller speaks HTTP/1.0
-    std::vector<Header> headers;                    //!< In order
-    BodyFraming         framing{BodyFraming::None}; //!< How the body ends
-    std::uint64_t       contentLength{0};           //!< For `Length`
-    bool                keepAlive{true};            //!< The caller wants to keep the connection
+    std::string         path;                       //!< Request target without the query
+    bool                http10{false};              //!< Whether the caller speaks HTTP/1.0
+    std::vector<Header> headers;                    //!< Headers in the order received
+    BodyFraming         framing{BodyFraming::None}; //!< How the request marks the end of its body
+    std::uint64_t       contentLength{0};           //!< Body length in bytes when `framing` is `Length`
+    bool                keepAlive{true};            //!< Whether the caller allows the connection to be kept open
 
     ////////////////////////////////////////////////////////////
-    /// \brief Value of the first header of a name; empty when there is none
+    /// \brief Get the value of the first header with a name; empty when no header matches
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::string_view header(std::string_view name) const;
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Why a head is refused
+/// \brief Reason for refusing a request head
 ////////////////////////////////////////////////////////////
 struct HeadError
 {
     int              status{400}; //!< HTTP status of the refusal
-    std::string_view message;     //!< What is wrong
+    std::string_view message;     //!< Description of the fault, sent to the caller
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief Read and check the head of a request
+/// \brief Parse and validate the head of a request
 ///
-/// Refuses every shape on which two parsers could disagree about where a
-/// request ends: two lengths, a length with chunked coding, a bare carriage
-/// return, folded lines, blanks before the colon, bodies where none belongs.
+/// Refuses every form on which two parsers could disagree about where a
+/// request ends (request smuggling): two lengths, a length with chunked coding,
+/// a bare carriage return, folded lines, blanks before the colon, and bodies
+/// with methods that have none.
 ///
-/// \param raw From the request line to the empty line
+/// \param raw Bytes from the request line to the empty line
 ////////////////////////////////////////////////////////////
 [[nodiscard]] std::variant<RequestHead, HeadError> parseRequestHead(std::string_view raw);
 
 ////////////////////////////////////////////////////////////
-/// \brief Compare header names without regard to case
+/// \brief Compare header names case-insensitively
 ////////////////////////////////////////////////////////////
 [[nodiscard]] bool sameName(std::string_view left, std::string_view right);
 
 ////////////////////////////////////////////////////////////
-/// \brief Split header lines without checking more than their shape
+/// \brief Split header lines, validating only their syntax
 ///
 /// \param lines Header lines without the first line of the message
 /// \param into  Receives the headers
 ///
-/// \return What is wrong; empty when nothing is
+/// \return Description of the first syntax error; empty when all lines are valid
 ////////////////////////////////////////////////////////////
 [[nodiscard]] std::string_view splitHeaders(std::string_view lines, std::vector<Header>& into);
 
 ////////////////////////////////////////////////////////////
-/// \brief Whether a header concerns only one connection and is not passed on
+/// \brief Whether a header applies to one connection only and is not forwarded
 ///
 /// \param name       Header name
 /// \param connection Value of the Connection header
--- a/include/sailpath/adapters/http/ServerThread.hpp
+++ b/include/sailpath/adapters/http/ServerThread.hpp
@@ -13,16 +13,16 @@
 namespace sailpath::adapters::http
 {
 ////////////////////////////////////////////////////////////
-/// \brief Runs one of the library's servers on a thread of its own
+/// \brief Runs an httplib server on a dedicated thread
 ////////////////////////////////////////////////////////////
 class ServerThread
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Listen and serve; returns when the server runs
+    /// \brief Start to listen and serve; returns when the server is running
     ///
-    /// \param server The library's server, its handlers set; outlives the thread
-    /// \param listen Where to listen; port 0 lets the system choose
+    /// \param server Server with its handlers set; must outlive this object
+    /// \param listen Address and port to listen on; port 0 lets the system choose
     ///
     /// \throws std::runtime_error when the address cannot be listened on
     ////////////////////////////////////////////////////////////
@@ -32,11 +32,11 @@
     ServerThread(const ServerThread&) = delete;
     ServerThread& operator=(const ServerThread&) = delete;
 
-    [[nodiscard]] std::uint16_t port() const; //!< Port in use
+    [[nodiscard]] std::uint16_t port() const; //!< Port the server listens on
 
 private:
     struct Impl;
-    std::unique_ptr<Impl> m_impl; //!< The thread
+    std::unique_ptr<Impl> m_impl; //!< Server and its thread
 };
 
 } // namespace sailpath::adapters::http
--- a/src/sailpath/adapters/http/AnswerWriter.cpp
+++ b/src/sailpath/adapters/http/AnswerWriter.cpp
@@ -8,10 +8,10 @@
 {
 namespace
 {
-constexpr std::size_t flushAt = 32UL * 1024; // Small answers leave in one write
+constexpr std::size_t flushThresholdBytes = 32UL * 1024; // Small answers are sent in one write
 
 ////////////////////////////////////////////////////////////
-std::string chunkSize(std::size_t size)
+std::string makeChunkHeader(std::size_t size)
 {
     std::array<char, 20> digits{};
     const auto           end = std::to_chars(digits.data(), digits.data() + digits.size(), size, 16).ptr;
@@ -35,10 +35,10 @@
     assert(!m_begun);
     m_begun = true;
     m_noBody = head.framing == BodyFraming::None;
-    m_stated = head.framing == BodyFraming::Length;
-    m_left = m_stated ? head.contentLength : 0;
+    m_hasLength = head.framing == BodyFraming::Length;
+    m_remaining = m_hasLength ? head.contentLength : 0;
     m_chunked = (head.framing == BodyFraming::Chunked || head.framing == BodyFraming::UntilEnd) && !m_http10;
-    if (!m_noBody && !m_stated && !m_chunked)
+    if (!m_noBody && !m_hasLength && !m_chunked)
         m_keepAlive = false;
 
     m_pending = "HTTP/1.1 " + std::to_string(head.status) + " " + head.reason + "\r\n";
@@ -46,7 +46,7 @@
         m_pending.append(header.name).append(": ").append(header.value).append("\r\n");
     if (m_chunked)
         m_pending += "Transfer-Encoding: chunked\r\n";
-    else if (m_stated || head.lengthWithoutBody)
+    else if (m_hasLength || head.lengthWithoutBody)
         m_pending += "Content-Length: " + std::to_string(head.contentLength) + "\r\n";
     else if (m_noBody && head.status != 204 && head.status != 304)
         m_pending += "Content-Length: 0\r\n";
@@ -65,17 +65,17 @@
         return false;
     if (m_noBody || data.empty())
         return true;
-    if (m_stated && data.size() > m_left)
+    if (m_hasLength && data.size() > m_remaining)
     {
         abort();
         return false;
     }
-    m_left -= m_stated ? data.size() : 0;
+    m_remaining -= m_hasLength ? data.size() : 0;
     if (m_chunked)
-        m_pending.append(chunkSize(data.size())).append(data).append("\r\n");
+        m_pending.append(makeChunkHeader(data.size())).append(data).append("\r\n");
     else
         m_pending.append(data);
-    return m_pending.size() < flushAt || flush();
+    return m_pending.size() < flushThresholdBytes || flush();
 }
 
 ////////////////////////////////////////////////////////////
@@ -84,7 +84,7 @@
     assert(m_begun);
     if (m_broken)
         return false;
-    if (m_stated && m_left > 0)
+    if (m_hasLength && m_remaining > 0)
     {
         abort();
         return false;
@@ -97,7 +97,7 @@
 ////////////////////////////////////////////////////////////
 bool AnswerWriter::discardUnsent()
 {
-    if (m_handedOver || m_broken)
+    if (m_sendStarted || m_broken)
         return false;
     m_begun = false;
     m_pending.clear();
@@ -107,7 +107,7 @@
 ////////////////////////////////////////////////////////////
 void AnswerWriter::abort()
 {
-    // What was held back is dropped too: a caller must not take the part for the whole.
+    // Buffered bytes are dropped too, so that the caller cannot take a partial answer for a complete one.
     m_pending.clear();
     m_broken = true;
     m_keepAlive = false;
@@ -128,17 +128,17 @@
 ////////////////////////////////////////////////////////////
 bool AnswerWriter::flush()
 {
-    std::span<const char> left(m_pending);
-    while (!left.empty())
+    std::span<const char> unsent(m_pending);
+    while (!unsent.empty())
     {
-        m_handedOver = true;
-        const net::IoResult result = m_socket.write(left, m_timeout);
+        m_sendStarted = true;
+        const net::IoResult result = m_socket.write(unsent, m_timeout);
         if (result.status != net::IoStatus::Done)
         {
             abort();
             return false;
         }
-        left = left.subspan(result.bytes);
+        unsent = unsent.subspan(result.bytes);
     }
     m_pending.clear();
     return true;
--- a/src/sailpath/adapters/http/BackendClient.cpp
+++ b/src/sailpath/adapters/http/BackendClient.cpp
@@ -10,13 +10,13 @@
 {
 namespace
 {
-constexpr std::size_t      idlePerServer = 64;
-constexpr core::Duration   longestIdle = std::chrono::seconds{20};
-constexpr core::Duration   provenIdle = std::chrono::milliseconds{500};
+constexpr std::size_t      maxIdlePerServer = 64;
+constexpr core::Duration   maxIdleTime = std::chrono::seconds{20};
+constexpr core::Duration   recentIdleTime = std::chrono::milliseconds{500};
 constexpr std::string_view headEnd = "\r\n\r\n";
 
 ////////////////////////////////////////////////////////////
-/// \brief The last head in what was recorded, which may begin with interim answers
+/// \brief Skip interim (1xx) answers at the start of the recorded bytes and return the final head
 ////////////////////////////////////////////////////////////
 std::string_view finalHead(std::string_view recorded)
 {
@@ -31,14 +31,15 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief Build the answer's head from the bytes received, since the library decodes values
+/// \brief Build the head of the answer from the received bytes, because the library decodes header values
 ////////////////////////////////////////////////////////////
 AnswerHead makeHead(std::string_view recorded, const httplib::Response& response, std::string_view method)
 {
     const std::string_view raw = finalHead(recorded);
     std::vector<Header>    all;
     const auto             lineEnd = raw.find("\r\n");
-    // The library has accepted the head already; lines it let pass and we do not are dropped.
+    // The library has accepted the head already. Parsing stops at the first line that splitHeaders rejects, and the
+    // remaining lines are dropped.
     (void)splitHeaders(raw.substr(std::min(raw.size(), lineEnd + 2)), all);
 
     AnswerHead head;
@@ -74,12 +75,12 @@
 }
 
 ////////////////////////////////////////////////////////////
-/// \brief One run of the library with the state its callbacks share
+/// \brief Runs one exchange of the library and holds the state that its callbacks share
 ////////////////////////////////////////////////////////////
-class Run
+class ExchangeRun
 {
 public:
-    Run(priv::BackendStream& stream, const ServerRequest& request, const AnswerSink& sink) :
+    ExchangeRun(priv::BackendStream& stream, const ServerRequest& request, const AnswerSink& sink) :
     m_stream(stream),
     m_request(request),
     m_sink(sink)
@@ -89,17 +90,17 @@
     ////////////////////////////////////////////////////////////
     ExchangeEnd execute()
     {
-        httplib::Request      request = prepare();
+        httplib::Request      request = makeLibraryRequest();
         httplib::Response     response;
         httplib::Error        error = httplib::Error::Success;
-        // Clients hold no connection of their own here; one is made for each exchange.
+        // A library client is created for each exchange and holds no connection of its own.
         priv::LibraryExchange library;
         const bool            whole = library.run(m_stream, request, response, error);
-        if (whole && !m_headGiven)
-            (void)giveHead(response);
+        if (whole && !m_headDelivered)
+            (void)deliverHead(response);
         if (m_sinkRefused)
             return ExchangeEnd::SinkRefused;
-        if (m_bodyless || whole)
+        if (m_endedAfterHead || whole)
         {
             const std::string connection = response.get_header_value("Connection");
             m_reusable = whole && !sameName(connection, "close") && response.version != "HTTP/1.0" &&
@@ -108,7 +109,7 @@
         }
         if (m_sourceFailed)
             return ExchangeEnd::SourceFailed;
-        if (m_headGiven)
+        if (m_headDelivered)
             return ExchangeEnd::Truncated;
         return m_stream.timedOut() ? ExchangeEnd::TimedOut : ExchangeEnd::NoAnswer;
     }
@@ -121,16 +122,16 @@
 
 private:
     ////////////////////////////////////////////////////////////
-    httplib::Request prepare()
+    httplib::Request makeLibraryRequest()
     {
         httplib::Request request;
         request.method = m_request.method;
         request.path = m_request.target;
         for (const Header& header : m_request.headers)
             request.headers.emplace(header.name, header.value);
-        request.response_handler = [this](const httplib::Response& response) { return giveHead(response); };
+        request.response_handler = [this](const httplib::Response& response) { return deliverHead(response); };
         request.content_receiver = [this](const char* data, std::size_t size, std::uint64_t, std::uint64_t) {
-            return giveBody({data, size});
+            return deliverBody({data, size});
         };
         if (m_request.framing == BodyFraming::None)
             return request;
@@ -144,32 +145,32 @@
         if (request.is_chunked_content_provider_)
             request.headers.emplace("Transfer-Encoding", "chunked");
         request.content_provider_ = [this](std::size_t, std::size_t, httplib::DataSink& sink)
-        { return pipeBody(sink); };
+        { return sendBody(sink); };
         return request;
     }
 
     ////////////////////////////////////////////////////////////
-    bool giveHead(const httplib::Response& response)
+    bool deliverHead(const httplib::Response& response)
     {
-        m_headGiven = true;
+        m_headDelivered = true;
         m_stream.headComplete();
         const AnswerHead head = makeHead(m_stream.head(), response, m_request.method);
         m_framing = head.framing;
         m_sinkRefused = !m_sink.head(head);
-        // The library would wait for a body after 304; there is none.
-        m_bodyless = response.status == 304;
-        return !m_sinkRefused && !m_bodyless;
+        // The exchange ends after the head of a 304 answer, because the library would wait for a body that never comes.
+        m_endedAfterHead = response.status == 304;
+        return !m_sinkRefused && !m_endedAfterHead;
     }
 
     ////////////////////////////////////////////////////////////
-    bool giveBody(std::string_view data)
+    bool deliverBody(std::string_view data)
     {
         m_sinkRefused = !m_sink.body(data);
         return !m_sinkRefused;
     }
 
     ////////////////////////////////////////////////////////////
-    bool pipeBody(httplib::DataSink& sink)
+    bool sendBody(httplib::DataSink& sink)
     {
         const bool whole =
             m_request.stream([&sink](std::string_view data) { return sink.write(data.data(), data.size()); });
@@ -179,24 +180,24 @@
         return whole;
     }
 
-    priv::BackendStream& m_stream;                     //!< The connection
-    const ServerRequest& m_request;                    //!< What is sent
+    priv::BackendStream& m_stream;                     //!< Connection to the server
+    const ServerRequest& m_request;                    //!< Request to send
     const AnswerSink&    m_sink;                       //!< Receives the answer
-    BodyFraming          m_framing{BodyFraming::None}; //!< Of the answer
-    bool                 m_headGiven{false};           //!< The sink has the head
-    bool                 m_sinkRefused{false};         //!< The sink ended it
-    bool                 m_sourceFailed{false};        //!< The body could not be read
-    bool                 m_bodyless{false};            //!< Ended on purpose after the head
-    bool                 m_reusable{false};            //!< The connection can serve another request
+    BodyFraming          m_framing{BodyFraming::None}; //!< Framing of the answer
+    bool                 m_headDelivered{false};       //!< Whether the head was passed to the sink
+    bool                 m_sinkRefused{false};         //!< Whether the sink ended the transfer
+    bool                 m_sourceFailed{false};        //!< Whether reading the body of the request failed
+    bool m_endedAfterHead{false}; //!< Whether the exchange was ended after the head because the answer has no body
+    bool m_reusable{false};       //!< Whether the connection can serve another request
 };
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-BackendClient::BackendClient(core::Duration connectTimeout, core::Duration bodyIdle) :
+BackendClient::BackendClient(core::Duration connectTimeout, core::Duration bodyIdleTimeout) :
 m_connectTimeout(connectTimeout),
-m_bodyIdle(bodyIdle),
-m_pool(idlePerServer, longestIdle)
+m_bodyIdleTimeout(bodyIdleTimeout),
+m_pool(maxIdlePerServer, maxIdleTime)
 {
 }
 
@@ -205,20 +206,20 @@
                                     const AnswerSink& sink, Cancellation& cancellation)
 {
     const std::string server = address + ":" + std::to_string(port);
-    net::TcpSocket    socket = m_pool.take(server, request.reuseRecentOnly ? provenIdle : longestIdle);
+    net::TcpSocket    socket = m_pool.take(server, request.reuseRecentOnly ? recentIdleTime : maxIdleTime);
     if (!socket.isOpen())
     {
-        const auto left =
+        const auto remaining =
             std::chrono::duration_cast<core::Duration>(request.deadline - std::chrono::steady_clock::now());
-        socket = net::TcpSocket::connect(address, port, std::clamp(left, core::Duration{0}, m_connectTimeout));
+        socket = net::TcpSocket::connect(address, port, std::clamp(remaining, core::Duration{0}, m_connectTimeout));
     }
     if (!socket.isOpen())
         return ExchangeEnd::NotSent;
     if (!cancellation.attach(socket))
         return ExchangeEnd::Cancelled;
 
-    priv::BackendStream stream(socket, request.deadline, m_bodyIdle);
-    Run                 run(stream, request, sink);
+    priv::BackendStream stream(socket, request.deadline, m_bodyIdleTimeout);
+    ExchangeRun         run(stream, request, sink);
     const ExchangeEnd   end = run.execute();
     cancellation.detach();
     if (cancellation.cancelled())
--- a/src/sailpath/adapters/http/RequestHead.cpp
+++ b/src/sailpath/adapters/http/RequestHead.cpp
@@ -10,7 +10,7 @@
 {
 namespace
 {
-constexpr std::size_t                     longestTarget = 4096;
+constexpr std::size_t                     maxTargetBytes = 4096;
 constexpr std::array<std::string_view, 7> methods{"GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"};
 constexpr std::array<std::string_view, 9> hopByHop{"connection",          "keep-alive", "proxy-authenticate",
                                                    "proxy-authorization", "te",         "trailer",
@@ -30,7 +30,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool hasControl(std::string_view text)
+bool hasControlCharacter(std::string_view text)
 {
     return std::any_of(text.begin(), text.end(), [](unsigned char c) { return (c < 0x20 && c != '\t') || c == 0x7f; });
 }
@@ -47,7 +47,7 @@
 ////////////////////////////////////////////////////////////
 /// \brief Whether a comma-separated list contains a token
 ////////////////////////////////////////////////////////////
-bool lists(std::string_view list, std::string_view token)
+bool listContains(std::string_view list, std::string_view token)
 {
     while (!list.empty())
     {
@@ -60,7 +60,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::optional<HeadError> readRequestLine(std::string_view line, RequestHead& head)
+std::optional<HeadError> parseRequestLine(std::string_view line, RequestHead& head)
 {
     const auto first = line.find(' ');
     const auto last = line.rfind(' ');
@@ -74,11 +74,11 @@
         return HeadError{501, "method not supported"};
     if (version != "HTTP/1.1" && version != "HTTP/1.0")
         return HeadError{505, "HTTP version not supported"};
-    if (head.target.size() > longestTarget)
+    if (head.target.size() > maxTargetBytes)
         return HeadError{414, "request target too long"};
-    const bool clean =
+    const bool printable =
         std::all_of(head.target.begin(), head.target.end(), [](unsigned char c) { return c > 0x20 && c < 0x7f; });
-    if (!head.target.starts_with('/') || !clean)
+    if (!head.target.starts_with('/') || !printable)
         return HeadError{400, "malformed request target"};
     head.path = head.target.substr(0, head.target.find('?'));
     head.http10 = version == "HTTP/1.0";
@@ -86,7 +86,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-std::optional<HeadError> readFraming(RequestHead& head)
+std::optional<HeadError> parseFraming(RequestHead& head)
 {
     std::size_t lengths = 0;
     std::size_t codings = 0;
@@ -113,17 +113,17 @@
     if (hosts > 1 || (hosts == 0 && !head.http10))
         return HeadError{400, "exactly one Host header is expected"};
     if (lengths + codings > 1)
-        return HeadError{400, "more than one statement of the body's length"};
+        return HeadError{400, "more than one Content-Length or Transfer-Encoding header"};
     if (codings == 1 && head.http10)
-        return HeadError{400, "chunked coding in HTTP/1.0"};
+        return HeadError{400, "chunked transfer coding is not allowed in HTTP/1.0"};
     if (codings == 1)
         head.framing = BodyFraming::Chunked;
     else if (lengths == 1 && head.contentLength > 0)
         head.framing = BodyFraming::Length;
 
-    const bool bodyBelongs = head.method != "GET" && head.method != "HEAD" && head.method != "OPTIONS";
-    if (!bodyBelongs && head.framing != BodyFraming::None)
-        return HeadError{400, "a body does not belong to this method"};
+    const bool allowsBody = head.method != "GET" && head.method != "HEAD" && head.method != "OPTIONS";
+    if (!allowsBody && head.framing != BodyFraming::None)
+        return HeadError{400, "a body is not allowed with this method"};
     return std::nullopt;
 }
 
@@ -145,14 +145,14 @@
         return HeadError{400, "malformed request line"};
 
     RequestHead head;
-    if (const auto error = readRequestLine(raw.substr(0, lineEnd), head))
+    if (const auto error = parseRequestLine(raw.substr(0, lineEnd), head))
         return *error;
-    if (const std::string_view wrong = splitHeaders(raw.substr(lineEnd + 2), head.headers); !wrong.empty())
-        return HeadError{400, wrong};
-    if (const auto error = readFraming(head))
+    if (const std::string_view fault = splitHeaders(raw.substr(lineEnd + 2), head.headers); !fault.empty())
+        return HeadError{400, fault};
+    if (const auto error = parseFraming(head))
         return *error;
     const std::string_view connection = head.header("Connection");
-    head.keepAlive = head.http10 ? lists(connection, "keep-alive") : !lists(connection, "close");
+    head.keepAlive = head.http10 ? listContains(connection, "keep-alive") : !listContains(connection, "close");
     return head;
 }
 
@@ -176,7 +176,7 @@
         const auto colon = line.find(':');
         if (colon == std::string_view::npos || !isToken(line.substr(0, colon)))
             return "malformed header line";
-        if (hasControl(line))
+        if (hasControlCharacter(line))
             return "control character in a header";
         into.push_back({std::string(line.substr(0, colon)), std::string(trim(line.substr(colon + 1)))});
     }
@@ -187,7 +187,7 @@
 bool isHopByHop(std::string_view name, std::string_view connection)
 {
     const auto same = [name](std::string_view known) { return sameName(name, known); };
-    return std::any_of(hopByHop.begin(), hopByHop.end(), same) || lists(connection, name);
+    return std::any_of(hopByHop.begin(), hopByHop.end(), same) || listContains(connection, name);
 }
 
 } // namespace sailpath::adapters::http
--- a/src/sailpath/adapters/http/ServerThread.cpp
+++ b/src/sailpath/adapters/http/ServerThread.cpp
@@ -10,16 +10,16 @@
 ////////////////////////////////////////////////////////////
 struct ServerThread::Impl
 {
-    Impl(httplib::Server& served, int used) :
-    server(served),
-    port(used),
-    thread([&served] { served.listen_after_bind(); })
+    Impl(httplib::Server& httpServer, int boundPort) :
+    server(httpServer),
+    port(boundPort),
+    thread([&httpServer] { httpServer.listen_after_bind(); })
     {
     }
 
-    httplib::Server& server; //!< The library's server
-    int              port;   //!< Port in use
-    std::thread      thread; //!< Runs the server
+    httplib::Server& server; //!< Server run by the thread
+    int              port;   //!< Port the server listens on
+    std::thread      thread; //!< Runs the server until it is stopped
 };
 
 ////////////////////////////////////////////////////////////
@@ -34,7 +34,7 @@
         throw std::runtime_error("cannot listen on " + listen.text());
 
     m_impl = std::make_unique<Impl>(server, port);
-    // A stop before the server runs would be lost.
+    // Stopping a server that is not running yet has no effect, so the constructor waits until it runs.
     while (!server.is_running())
         std::this_thread::sleep_for(std::chrono::milliseconds{1});
 }
