--- a/src/sailpath/adapters/http/BackendClient.cpp
+++ b/src/sailpath/adapters/http/BackendClient.cpp
@@ -104,7 +104,7 @@
         {
             const std::string connection = response.get_header_value("Connection");
             m_reusable = whole && !sameName(connection, "close") && response.version != "HTTP/1.0" &&
-                         m_framing != BodyFraming::UntilEnd && !m_stream.hasSurplus();
+                         m_framing != BodyFraming::UntilEnd && !m_stream.hasUnconsumedBytes();
             return ExchangeEnd::Whole;
         }
         if (m_sourceFailed)
--- a/src/sailpath/adapters/http/BackendStream.cpp
+++ b/src/sailpath/adapters/http/BackendStream.cpp
@@ -7,17 +7,17 @@
 {
 namespace
 {
-constexpr std::size_t readAhead = 16UL * 1024;
-constexpr std::size_t longestHead = 64UL * 1024;
+constexpr std::size_t readBufferBytes = 16UL * 1024;
+constexpr std::size_t maxHeadBytes = 64UL * 1024;
 
 } // namespace
 
 ////////////////////////////////////////////////////////////
-BackendStream::BackendStream(const net::TcpSocket& socket, Clock::time_point deadline, core::Duration idle) :
+BackendStream::BackendStream(const net::TcpSocket& socket, Clock::time_point deadline, core::Duration idleTimeout) :
 m_socket(socket),
 m_deadline(deadline),
-m_idle(idle),
-m_buffer(readAhead)
+m_idleTimeout(idleTimeout),
+m_buffer(readBufferBytes)
 {
 }
 
@@ -52,7 +52,7 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool BackendStream::hasSurplus() const
+bool BackendStream::hasUnconsumedBytes() const
 {
     return m_next != m_end;
 }
@@ -74,7 +74,7 @@
 {
     if (m_next == m_end)
     {
-        const net::IoResult result = m_socket.read(m_buffer, patience());
+        const net::IoResult result = m_socket.read(m_buffer, currentTimeout());
         m_timedOut = m_timedOut || result.status == net::IoStatus::Timeout;
         if (result.status != net::IoStatus::Done)
             return result.status == net::IoStatus::Closed ? 0 : -1;
@@ -87,7 +87,7 @@
     m_next += count;
     if (!m_headComplete)
     {
-        if (m_head.size() + count > longestHead)
+        if (m_head.size() + count > maxHeadBytes)
             return -1;
         m_head.append(ptr, count);
     }
@@ -97,9 +97,9 @@
 ////////////////////////////////////////////////////////////
 ssize_t BackendStream::write(const char* ptr, size_t size)
 {
-    // From the first call on nobody can say that nothing left.
+    // Set before the attempt, because a failed write may still have sent some bytes.
     m_sent = true;
-    const net::IoResult result = m_socket.write({ptr, size}, patience());
+    const net::IoResult result = m_socket.write({ptr, size}, currentTimeout());
     m_timedOut = m_timedOut || result.status == net::IoStatus::Timeout;
     return result.status == net::IoStatus::Done ? static_cast<ssize_t>(result.bytes) : -1;
 }
@@ -125,12 +125,12 @@
 }
 
 ////////////////////////////////////////////////////////////
-core::Duration BackendStream::patience() const
+core::Duration BackendStream::currentTimeout() const
 {
     if (m_headComplete)
-        return m_idle;
-    const auto left = std::chrono::duration_cast<core::Duration>(m_deadline - Clock::now());
-    return std::max(left, core::Duration{0});
+        return m_idleTimeout;
+    const auto remaining = std::chrono::duration_cast<core::Duration>(m_deadline - Clock::now());
+    return std::max(remaining, core::Duration{0});
 }
 
 } // namespace sailpath::adapters::http::priv
--- a/src/sailpath/adapters/http/BackendStream.hpp
+++ b/src/sailpath/adapters/http/BackendStream.hpp
@@ -13,10 +13,10 @@
 namespace sailpath::adapters::http::priv
 {
 ////////////////////////////////////////////////////////////
-/// \brief The library's view of a connection to a backend server
+/// \brief Adapts a connection to a backend server to the stream interface of httplib
 ///
-/// Knows whether any byte may have left, records the answer's head as it
-/// was received, and keeps to a point in time until the head has come.
+/// Tracks whether any byte may have been sent, records the head of the answer
+/// as received, and enforces the deadline until the head is complete.
 ////////////////////////////////////////////////////////////
 class BackendStream : public httplib::Stream
 {
@@ -24,13 +24,13 @@
     using Clock = std::chrono::steady_clock;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Wrap a connection for one attempt
+    /// \brief Create a stream for one exchange
     ///
-    /// \param socket   The connection
-    /// \param deadline Until when the answer must have begun
-    /// \param idle     Longest pause once it has begun
+    /// \param socket      Connection to the server
+    /// \param deadline    Latest time for the head of the answer to be complete
+    /// \param idleTimeout Longest wait for each read or write once the head is complete
     ////////////////////////////////////////////////////////////
-    BackendStream(const net::TcpSocket& socket, Clock::time_point deadline, core::Duration idle);
+    BackendStream(const net::TcpSocket& socket, Clock::time_point deadline, core::Duration idleTimeout);
 
     ////////////////////////////////////////////////////////////
     /// \brief Whether any byte may have reached the server
@@ -38,29 +38,29 @@
     [[nodiscard]] bool mayHaveSent() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Whether any byte came back
+    /// \brief Whether any byte of an answer was received
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool received() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Whether a wait ended by its time limit
+    /// \brief Whether a read or write ran into its timeout
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool timedOut() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief The answer's head as received, interim answers included
+    /// \brief Get the recorded head of the answer, including interim (1xx) answers
     ////////////////////////////////////////////////////////////
     [[nodiscard]] std::string_view head() const;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Stop recording: the head is complete
+    /// \brief Mark the head as complete and stop recording
     ////////////////////////////////////////////////////////////
     void headComplete();
 
     ////////////////////////////////////////////////////////////
-    /// \brief Whether bytes were read that belong to no answer
+    /// \brief Whether received bytes remain that the library has not consumed
     ////////////////////////////////////////////////////////////
-    [[nodiscard]] bool hasSurplus() const;
+    [[nodiscard]] bool hasUnconsumedBytes() const;
 
     [[nodiscard]] bool is_readable() const override;
     [[nodiscard]] bool is_writable() const override;
@@ -71,19 +71,19 @@
     [[nodiscard]] int  socket() const override;
 
 private:
-    [[nodiscard]] core::Duration patience() const;
+    [[nodiscard]] core::Duration currentTimeout() const;
 
-    const net::TcpSocket& m_socket;              //!< The connection
-    Clock::time_point     m_deadline;            //!< For the head
-    core::Duration        m_idle;                //!< For the body
-    std::vector<char>     m_buffer;              //!< Bytes read ahead
-    std::size_t           m_next{0};             //!< First unread byte in the buffer
-    std::size_t           m_end{0};              //!< End of the bytes in the buffer
-    std::string           m_head;                //!< Recorded head
-    bool                  m_headComplete{false}; //!< Recording is over
-    bool                  m_sent{false};         //!< A byte may have left
-    bool                  m_received{false};     //!< A byte came back
-    bool                  m_timedOut{false};     //!< A wait ran out
+    const net::TcpSocket& m_socket;              //!< Connection to the server
+    Clock::time_point     m_deadline;            //!< Latest time for the head to be complete
+    core::Duration        m_idleTimeout;         //!< Longest wait for each transfer after the head
+    std::vector<char>     m_buffer;              //!< Receive buffer
+    std::size_t           m_next{0};             //!< Index of the first unconsumed byte in the buffer
+    std::size_t           m_end{0};              //!< End of the received bytes in the buffer
+    std::string           m_head;                //!< Recorded head of the answer
+    bool                  m_headComplete{false}; //!< Whether the head is complete
+    bool                  m_sent{false};         //!< Whether any byte may have reached the server
+    bool                  m_received{false};     //!< Whether any byte was received
+    bool                  m_timedOut{false};     //!< Whether a read or write timed out
 };
 
 } // namespace sailpath::adapters::http::priv
--- a/src/sailpath/adapters/http/CallerStream.cpp
+++ b/src/sailpath/adapters/http/CallerStream.cpp
@@ -9,8 +9,8 @@
 {
 namespace
 {
-constexpr std::size_t      readAhead = 16UL * 1024;
-constexpr double           slowestRate = 1024; // Bytes a second that a caller must keep up, after its first patience
+constexpr std::size_t      readAheadBytes = 16UL * 1024;
+constexpr double           minBytesPerSecond = 1024; // Average rate that a caller must sustain after the timeout
 constexpr std::string_view interimAnswer = "HTTP/1.1 100";
 
 } // namespace
@@ -40,17 +40,17 @@
 {
     if (m_buffered.empty())
     {
-        if (tooSlow())
+        if (isTooSlow())
             return -1;
-        // The library reads lines byte by byte, so small reads fill the buffer.
-        if (size >= readAhead)
+        // The library reads lines byte by byte, so a small read fills the buffer instead of reading single bytes.
+        if (size >= readAheadBytes)
         {
             const net::IoResult result = m_socket.read({ptr, size}, m_timeout);
             m_received += result.bytes;
             return result.status == net::IoStatus::Done ? static_cast<ssize_t>(result.bytes) : -1;
         }
-        std::array<char, readAhead> ahead{};
-        const net::IoResult         result = m_socket.read(ahead, m_timeout);
+        std::array<char, readAheadBytes> ahead{};
+        const net::IoResult              result = m_socket.read(ahead, m_timeout);
         if (result.status != net::IoStatus::Done)
             return -1;
         m_received += result.bytes;
@@ -88,17 +88,17 @@
 }
 
 ////////////////////////////////////////////////////////////
-bool CallerStream::tooSlow() const
+bool CallerStream::isTooSlow() const
 {
-    // A caller that sends a byte now and then would otherwise hold a place for ever.
-    const std::chrono::duration<double> spent = std::chrono::steady_clock::now() - m_start;
-    return spent.count() > core::toSeconds(m_timeout) + static_cast<double>(m_received) / slowestRate;
+    // Without a minimum rate, a caller that sends single bytes at long intervals would occupy a worker forever.
+    const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - m_start;
+    return elapsed.count() > core::toSeconds(m_timeout) + static_cast<double>(m_received) / minBytesPerSecond;
 }
 
 ////////////////////////////////////////////////////////////
 int CallerStream::socket() const
 {
-    // The library only asks whether the number suits select(), which is not used here.
+    // The library only checks whether the descriptor is small enough for select(), which this stream does not use.
     return 0;
 }
 
--- a/src/sailpath/adapters/http/CallerStream.hpp
+++ b/src/sailpath/adapters/http/CallerStream.hpp
@@ -11,21 +11,21 @@
 namespace sailpath::adapters::http::priv
 {
 ////////////////////////////////////////////////////////////
-/// \brief The library's view of a caller's connection
+/// \brief Adapts a connection of a caller to the stream interface of httplib
 ///
-/// Reads first what the reactor has read already. Swallows what the library
-/// writes, but for the interim answer 100, since answers are written by
-/// `AnswerWriter`.
+/// Reads the bytes buffered by the reactor first. Discards what the library
+/// writes, except the interim answer 100 (Continue), because `AnswerWriter`
+/// writes the answers.
 ////////////////////////////////////////////////////////////
 class CallerStream : public httplib::Stream
 {
 public:
     ////////////////////////////////////////////////////////////
-    /// \brief Wrap a connection for one request
+    /// \brief Create a stream for one request
     ///
-    /// \param socket   The connection
-    /// \param buffered Bytes read already; what the request does not use stays there
-    /// \param timeout  Longest wait for the caller's next bytes
+    /// \param socket   Connection of the caller
+    /// \param buffered Bytes read ahead; bytes after the end of the request remain in it
+    /// \param timeout  Longest wait for each read or write, and the time before the minimum rate applies
     ////////////////////////////////////////////////////////////
     CallerStream(const net::TcpSocket& socket, std::string& buffered, core::Duration timeout);
 
@@ -38,13 +38,13 @@
     [[nodiscard]] int  socket() const override;
 
 private:
-    [[nodiscard]] bool tooSlow() const;
+    [[nodiscard]] bool isTooSlow() const;
 
-    const net::TcpSocket&                 m_socket;                                  //!< The connection
-    std::string&                          m_buffered;                                //!< Bytes read ahead
-    core::Duration                        m_timeout;                                 //!< Longest wait
-    std::size_t                           m_received{0};                             //!< Bytes read from the connection
-    std::chrono::steady_clock::time_point m_start{std::chrono::steady_clock::now()}; //!< Start of the request
+    const net::TcpSocket&                 m_socket;      //!< Connection of the caller
+    std::string&                          m_buffered;    //!< Bytes read ahead and not consumed yet
+    core::Duration                        m_timeout;     //!< Longest wait for each read or write
+    std::size_t                           m_received{0}; //!< Number of bytes read from the connection
+    std::chrono::steady_clock::time_point m_start{std::chrono::steady_clock::now()}; //!< Time the stream was created
 };
 
 } // namespace sailpath::adapters::http::priv
--- a/src/sailpath/adapters/http/Connection.hpp
+++ b/src/sailpath/adapters/http/Connection.hpp
@@ -13,21 +13,22 @@
 namespace sailpath::adapters::http::priv
 {
 ////////////////////////////////////////////////////////////
-/// \brief What a connection is doing
+/// \brief State of a connection
 ////////////////////////////////////////////////////////////
 enum class ConnectionState
 {
-    Idle,    //!< No byte of a request has come
-    Head,    //!< Part of a head has come
-    Serving, //!< A thread serves a request of it
-    GivenUp  //!< The sweep ended it; its last waiting step closes it
+    Idle,    //!< No byte of the next request has been received
+    Head,    //!< Part of a request head has been received
+    Serving, //!< A thread is serving a request
+    Aborted  //!< The periodic check ended the connection; its pending handler closes it
 };
 
 ////////////////////////////////////////////////////////////
-/// \brief A caller's connection
+/// \brief Connection of a caller
 ///
-/// One thread at a time works on it, step after step. Only the sweep looks
-/// at it from outside, at the atomic members and the descriptor.
+/// One thread at a time works on a connection. Only the periodic check runs
+/// concurrently, and it uses only the atomic members, the cancellation and
+/// the descriptor.
 ////////////////////////////////////////////////////////////
 struct Connection
 {
@@ -41,7 +42,7 @@
 
     ~Connection()
     {
-        // The descriptor belongs to Asio's socket.
+        // Asio's socket owns the descriptor and closes it.
         (void)io.release();
     }
 
@@ -49,22 +50,22 @@
     Connection& operator=(const Connection&) = delete;
 
     ////////////////////////////////////////////////////////////
-    /// \brief Go on to another state, from now on
+    /// \brief Change the state and restart the time spent in it; an aborted connection stays aborted
     ////////////////////////////////////////////////////////////
-    void enter(ConnectionState next)
+    void enterState(ConnectionState next)
     {
-        ConnectionState known = state;
+        ConnectionState current = state;
         since = Clock::now();
-        // A connection that was given up stays so.
-        while (known != ConnectionState::GivenUp && !state.compare_exchange_weak(known, next))
+        // An aborted connection stays aborted.
+        while (current != ConnectionState::Aborted && !state.compare_exchange_weak(current, next))
         {
         }
     }
 
     ////////////////////////////////////////////////////////////
-    /// \brief Start to serve a request
+    /// \brief Reset the state of the request before serving a new one
     ////////////////////////////////////////////////////////////
-    void begin()
+    void beginRequest()
     {
         bodyRead = false;
         cancellation->reset();
@@ -72,23 +73,25 @@
     }
 
     ////////////////////////////////////////////////////////////
-    /// \brief End it from outside
+    /// \brief Mark the connection as aborted from another thread
     ///
-    /// \return False when it has left the expected state in the meantime
+    /// \return False when the connection is no longer in the expected state
     ////////////////////////////////////////////////////////////
-    bool giveUp(ConnectionState expected)
+    bool abort(ConnectionState expected)
     {
-        return state.compare_exchange_strong(expected, ConnectionState::GivenUp);
+        return state.compare_exchange_strong(expected, ConnectionState::Aborted);
     }
 
     asio::ip::tcp::socket          socket;                       //!< Owner of the descriptor
-    net::TcpSocket                 io;                           //!< For transfers with a time limit
-    std::string                    address;                      //!< The caller's IP number
-    std::string                    buffered;                     //!< Bytes read and not used yet
-    std::atomic<Clock::time_point> since{Clock::now()};          //!< Start of the present state
-    std::atomic<ConnectionState>   state{ConnectionState::Idle}; //!< What it is doing
-    std::atomic<bool>              bodyRead{false};              //!< Nothing of the body is unread: an end is a hang-up
-    std::unique_ptr<Cancellation>  cancellation{std::make_unique<Cancellation>()}; //!< Of the request being served
+    net::TcpSocket                 io;                           //!< Same descriptor, for transfers with a timeout
+    std::string                    address;                      //!< IP address of the caller
+    std::string                    buffered;                     //!< Bytes read and not consumed yet
+    std::atomic<Clock::time_point> since{Clock::now()};          //!< Start of the current state or request
+    std::atomic<ConnectionState>   state{ConnectionState::Idle}; //!< Current state
+    std::atomic<bool>              bodyRead{
+        false}; //!< Whether the request body has been read completely, so that an end of stream means the caller disconnected
+    std::unique_ptr<Cancellation> cancellation{
+        std::make_unique<Cancellation>()}; //!< Cancellation of the request being served
 };
 
 } // namespace sailpath::adapters::http::priv
--- a/src/sailpath/adapters/http/Ingress.cpp
+++ b/src/sailpath/adapters/http/Ingress.cpp
@@ -22,18 +22,18 @@
 using Clock = Connection::Clock;
 using ConnectionPtr = std::shared_ptr<Connection>;
 
-constexpr std::size_t      spareThreads = 3; // For the reactor while others serve
-constexpr std::size_t      readAhead = 16UL * 1024;
-constexpr core::Duration   sweepEvery = std::chrono::milliseconds{10};
-constexpr core::Duration   lingerTime = std::chrono::milliseconds{200};
-constexpr core::Duration   longestLinger = std::chrono::seconds{1};
-constexpr std::size_t      lingerBytes = 1024UL * 1024;
+constexpr std::size_t      reactorThreads = 3; // Threads left to run the reactor while others serve requests
+constexpr std::size_t      readBufferBytes = 16UL * 1024;
+constexpr core::Duration   checkInterval = std::chrono::milliseconds{10};
+constexpr core::Duration   lingerIdleTimeout = std::chrono::milliseconds{200};
+constexpr core::Duration   maxLingerTime = std::chrono::seconds{1};
+constexpr std::size_t      maxLingerBytes = 1024UL * 1024;
 constexpr std::string_view headEnd = "\r\n\r\n";
 
 ////////////////////////////////////////////////////////////
-/// \brief A whole refusal for requests that no handler sees
+/// \brief Build the complete answer that refuses a request before it reaches the handler
 ////////////////////////////////////////////////////////////
-std::string plainRefusal(int status, std::string_view message)
+std::string makeRefusal(int status, std::string_view message)
 {
     const std::string text = std::string(message) + "\n";
     std::string       answer = "HTTP/1.1 " + std::to_string(status) + " Refused\r\n";
@@ -48,7 +48,7 @@
 ////////////////////////////////////////////////////////////
 struct Ingress::Impl
 {
-    Impl(IngressSettings limits, RequestHandler& handler);
+    Impl(IngressSettings limits, RequestHandler& requestHandler);
     ~Impl();
 
     void               addThread();
@@ -56,37 +56,38 @@
     void               open(asio::ip::tcp::socket socket);
     void               awaitBytes(const ConnectionPtr& connection);
     void               readBytes(const ConnectionPtr& connection);
-    void               serveIfComplete(const ConnectionPtr& connection);
-    void               refuseEarly(const ConnectionPtr& connection, int status, std::string_view message);
-    [[nodiscard]] bool takePlace();
+    void               serveCompleteRequests(const ConnectionPtr& connection);
+    void               refuseAndClose(const ConnectionPtr& connection, int status, std::string_view message);
+    [[nodiscard]] bool acquireWorkerSlot();
     [[nodiscard]] bool serve(const ConnectionPtr& connection, std::size_t headLength);
     [[nodiscard]] bool serveParsed(const ConnectionPtr& connection, const RequestHead& request);
     void               linger(const ConnectionPtr& connection) const;
     void               close(const ConnectionPtr& connection);
-    void               scheduleSweep();
-    void               sweep();
-    void               sweepOne(Connection& connection, Clock::time_point now) const;
-
-    IngressSettings                   settings;                             //!< Limits
-    RequestHandler&                   handler;                              //!< Serves the requests
-    asio::io_context                  context;                              //!< The reactor's; run by all threads
-    asio::ip::tcp::acceptor           acceptor{asio::make_strand(context)}; //!< Listens; its steps run one at a time
-    std::uint16_t                     port{0};                              //!< Port that is listened on
-    asio::steady_timer                timer{context};                       //!< For sweeps
-    std::atomic<bool>                 leaving{false};                       //!< Answers close their connections
-    std::atomic<bool>                 closing{false};                       //!< Idle connections are closed
-    mutable std::mutex                mutex;                                //!< Guards what follows
-    IngressCounters                   counts;                               //!< Counts so far
-    std::unordered_set<ConnectionPtr> connections;                          //!< All that are open
-    std::vector<std::unique_ptr<priv::CallerServer>> idleParsers;           //!< Parsers that no request uses
-    std::vector<std::thread>                         threads;               //!< Run the context, grown as needed
-    bool                                             ending{false};         //!< No thread is added from here on
+    void               scheduleCheck();
+    void               checkConnections();
+    void               checkConnection(Connection& connection, Clock::time_point now) const;
+
+    IngressSettings         settings; //!< Listening address and limits
+    RequestHandler&         handler;  //!< Serves the requests
+    asio::io_context        context;  //!< Event loop of the reactor; run by all threads
+    asio::ip::tcp::acceptor acceptor{
+        asio::make_strand(context)};                  //!< Listening socket; its strand runs handlers one at a time
+    std::uint16_t                     port{0};        //!< Port the acceptor listens on
+    asio::steady_timer                timer{context}; //!< Schedules the checks of connections
+    std::atomic<bool>                 keepAliveDisabled{false};   //!< Whether each answer closes its connection
+    std::atomic<bool>                 draining{false};            //!< Whether idle connections are closed
+    mutable std::mutex                mutex;                      //!< Guards the members below
+    IngressCounters                   counts;                     //!< Counters reported by counters(), without `open`
+    std::unordered_set<ConnectionPtr> connections;                //!< Open connections
+    std::vector<std::unique_ptr<priv::CallerServer>> idleParsers; //!< Parsers available for reuse
+    std::vector<std::thread> threads;         //!< Threads that run the context; more are added as needed
+    bool                     stopping{false}; //!< Whether destruction has begun, so that no thread is added
 };
 
 ////////////////////////////////////////////////////////////
-Ingress::Impl::Impl(IngressSettings limits, RequestHandler& served) :
+Ingress::Impl::Impl(IngressSettings limits, RequestHandler& requestHandler) :
 settings(std::move(limits)),
-handler(served)
+handler(requestHandler)
 {
     const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(settings.listen.address), settings.listen.port);
     acceptor.open(endpoint.protocol());
@@ -95,8 +96,8 @@
     acceptor.listen(1024);
     port = acceptor.local_endpoint().port();
     accept();
-    scheduleSweep();
-    for (std::size_t i = 0; i < spareThreads; ++i)
+    scheduleCheck();
+    for (std::size_t i = 0; i < reactorThreads; ++i)
         addThread();
 }
 
@@ -105,7 +106,7 @@
 {
     {
         const std::lock_guard<std::mutex> lock(mutex);
-        ending = true;
+        stopping = true;
     }
     context.stop();
     for (std::thread& thread : threads)
@@ -151,7 +152,7 @@
         counts.refused += full ? 1 : 0;
     }
     if (full)
-        refuseEarly(connection, 503, "too many connections");
+        refuseAndClose(connection, 503, "too many connections");
     else
         awaitBytes(connection);
 }
@@ -172,8 +173,8 @@
 ////////////////////////////////////////////////////////////
 void Ingress::Impl::readBytes(const ConnectionPtr& connection)
 {
-    std::array<char, readAhead> bytes{};
-    const net::IoResult         result = connection->io.read(bytes, core::Duration{0});
+    std::array<char, readBufferBytes> bytes{};
+    const net::IoResult               result = connection->io.read(bytes, core::Duration{0});
     if (result.status == net::IoStatus::Timeout)
     {
         awaitBytes(connection);
@@ -186,21 +187,21 @@
     }
     connection->buffered.append(bytes.data(), result.bytes);
     if (connection->state == ConnectionState::Idle)
-        connection->enter(ConnectionState::Head);
-    serveIfComplete(connection);
+        connection->enterState(ConnectionState::Head);
+    serveCompleteRequests(connection);
 }
 
 ////////////////////////////////////////////////////////////
-void Ingress::Impl::serveIfComplete(const ConnectionPtr& connection)
+void Ingress::Impl::serveCompleteRequests(const ConnectionPtr& connection)
 {
-    // Requests that the caller sent ahead are served one after the other.
+    // Pipelined requests are served one after the other.
     while (true)
     {
         const auto end = connection->buffered.find(headEnd);
         const bool complete = end != std::string::npos && end + headEnd.size() <= settings.maxHeadBytes;
         if (!complete && connection->buffered.size() > settings.maxHeadBytes)
         {
-            refuseEarly(connection, 431, "request head too large");
+            refuseAndClose(connection, 431, "request head too large");
             return;
         }
         if (!complete)
@@ -208,16 +209,16 @@
             awaitBytes(connection);
             return;
         }
-        // The sweep may have given the connection up at this very moment.
+        // The periodic check may have aborted the connection concurrently.
         ConnectionState expected = ConnectionState::Head;
         if (!connection->state.compare_exchange_strong(expected, ConnectionState::Serving))
         {
             close(connection);
             return;
         }
-        if (!takePlace())
+        if (!acquireWorkerSlot())
         {
-            refuseEarly(connection, 503, "no room for another request");
+            refuseAndClose(connection, 503, "no room for another request");
             return;
         }
         if (!serve(connection, end + headEnd.size()))
@@ -225,19 +226,19 @@
             close(connection);
             return;
         }
-        connection->enter(connection->buffered.empty() ? ConnectionState::Idle : ConnectionState::Head);
+        connection->enterState(connection->buffered.empty() ? ConnectionState::Idle : ConnectionState::Head);
     }
 }
 
 ////////////////////////////////////////////////////////////
-void Ingress::Impl::refuseEarly(const ConnectionPtr& connection, int status, std::string_view message)
+void Ingress::Impl::refuseAndClose(const ConnectionPtr& connection, int status, std::string_view message)
 {
-    (void)connection->io.write(plainRefusal(status, message), core::Duration{0});
+    (void)connection->io.write(makeRefusal(status, message), core::Duration{0});
     close(connection);
 }
 
 ////////////////////////////////////////////////////////////
-bool Ingress::Impl::takePlace()
+bool Ingress::Impl::acquireWorkerSlot()
 {
     const std::lock_guard<std::mutex> lock(mutex);
     if (counts.serving >= settings.workers)
@@ -246,9 +247,9 @@
         return false;
     }
     ++counts.serving;
-    // The thread that serves is lost to the reactor until it is done. Others
-    // are started only when needed: few threads with warm caches answer sooner.
-    if (!ending && counts.serving + spareThreads > threads.size())
+    // A thread that serves a request does not run the reactor meanwhile. Further threads
+    // start only when needed, because few threads with warm caches answer sooner.
+    if (!stopping && counts.serving + reactorThreads > threads.size())
         addThread();
     return true;
 }
@@ -256,13 +257,13 @@
 ////////////////////////////////////////////////////////////
 bool Ingress::Impl::serve(const ConnectionPtr& connection, std::size_t headLength)
 {
-    connection->begin();
+    connection->beginRequest();
     const auto        head = parseRequestHead(std::string_view(connection->buffered).substr(0, headLength));
     bool              keep = false;
     const auto* const error = std::get_if<HeadError>(&head);
     if (error)
     {
-        (void)connection->io.write(plainRefusal(error->status, error->message), settings.transferIdleTimeout);
+        (void)connection->io.write(makeRefusal(error->status, error->message), settings.transferIdleTimeout);
         linger(connection);
     }
     else
@@ -291,11 +292,12 @@
     if (!parser)
         parser = std::make_unique<priv::CallerServer>(handler, settings.maxBodyBytes);
 
-    AnswerWriter answer(connection->io, request.http10, request.keepAlive && !leaving, settings.transferIdleTimeout);
+    AnswerWriter       answer(connection->io, request.http10, request.keepAlive && !keepAliveDisabled,
+                              settings.transferIdleTimeout);
     priv::CallerStream stream(connection->io, connection->buffered, settings.transferIdleTimeout);
     parser->serveOne(stream, request, connection->address, answer, *connection->cancellation, connection->bodyRead);
     if (!answer.begun())
-        (void)connection->io.write(plainRefusal(400, "malformed request"), settings.transferIdleTimeout);
+        (void)connection->io.write(makeRefusal(400, "malformed request"), settings.transferIdleTimeout);
     const bool keep =
         answer.begun() && answer.mayKeepAlive() && connection->bodyRead && !connection->cancellation->cancelled();
     if (!keep && !connection->bodyRead)
@@ -309,16 +311,16 @@
 ////////////////////////////////////////////////////////////
 void Ingress::Impl::linger(const ConnectionPtr& connection) const
 {
-    // Closing with bytes unread would make the system drop the answer on its
-    // way, so what the caller still sends is read for a moment.
+    // Closing a socket with unread bytes makes the system reset the connection and drop the answer in transit,
+    // so further bytes from the caller are read and discarded for a limited time.
     asio::error_code ignored;
     connection->socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
-    std::array<char, readAhead> bytes{};
-    std::size_t                 read = 0;
-    const auto                  end = Clock::now() + longestLinger;
-    while (read < lingerBytes && Clock::now() < end)
+    std::array<char, readBufferBytes> bytes{};
+    std::size_t                       read = 0;
+    const auto                        end = Clock::now() + maxLingerTime;
+    while (read < maxLingerBytes && Clock::now() < end)
     {
-        const net::IoResult result = connection->io.read(bytes, lingerTime);
+        const net::IoResult result = connection->io.read(bytes, lingerIdleTimeout);
         if (result.status != net::IoStatus::Done)
             return;
         read += result.bytes;
@@ -328,7 +330,8 @@
 ////////////////////////////////////////////////////////////
 void Ingress::Impl::close(const ConnectionPtr& connection)
 {
-    // The sweep uses descriptors of listed connections only, under the same lock.
+    // The periodic check uses descriptors of listed connections only and holds the same lock, so the descriptor
+    // cannot be closed during a check.
     const std::lock_guard<std::mutex> lock(mutex);
     connections.erase(connection);
     asio::error_code ignored;
@@ -336,51 +339,51 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Ingress::Impl::scheduleSweep()
+void Ingress::Impl::scheduleCheck()
 {
-    timer.expires_after(sweepEvery);
+    timer.expires_after(checkInterval);
     timer.async_wait(
         [this](const asio::error_code& error)
         {
             if (error)
                 return;
-            sweep();
-            scheduleSweep();
+            checkConnections();
+            scheduleCheck();
         });
 }
 
 ////////////////////////////////////////////////////////////
-void Ingress::Impl::sweep()
+void Ingress::Impl::checkConnections()
 {
     const auto                        now = Clock::now();
     const std::lock_guard<std::mutex> lock(mutex);
     for (const ConnectionPtr& connection : connections)
-        sweepOne(*connection, now);
+        checkConnection(*connection, now);
 }
 
 ////////////////////////////////////////////////////////////
-void Ingress::Impl::sweepOne(Connection& connection, Clock::time_point now) const
+void Ingress::Impl::checkConnection(Connection& connection, Clock::time_point now) const
 {
     const auto age = now - connection.since.load();
     switch (connection.state)
     {
     case ConnectionState::Serving:
-        if (connection.bodyRead && age > sweepEvery && connection.io.isDisconnected())
+        if (connection.bodyRead && age > checkInterval && connection.io.isDisconnected())
             connection.cancellation->cancel();
         break;
     case ConnectionState::Head:
-        if (age > settings.headTimeout && connection.giveUp(ConnectionState::Head))
+        if (age > settings.headTimeout && connection.abort(ConnectionState::Head))
         {
-            (void)connection.io.write(plainRefusal(408, "the request's head took too long"), core::Duration{0});
+            (void)connection.io.write(makeRefusal(408, "the request's head took too long"), core::Duration{0});
             connection.io.shutdown();
         }
         break;
     case ConnectionState::Idle:
-        if ((age > settings.idleTimeout || (closing && connection.io.isIdle())) &&
-            connection.giveUp(ConnectionState::Idle))
+        if ((age > settings.idleTimeout || (draining && connection.io.isIdle())) &&
+            connection.abort(ConnectionState::Idle))
             connection.io.shutdown();
         break;
-    case ConnectionState::GivenUp:
+    case ConnectionState::Aborted:
         break;
     }
 }
@@ -403,26 +406,26 @@
 ////////////////////////////////////////////////////////////
 void Ingress::disableKeepAlive()
 {
-    m_impl->leaving = true;
+    m_impl->keepAliveDisabled = true;
 }
 
 ////////////////////////////////////////////////////////////
 bool Ingress::drain(core::Duration timeout)
 {
-    m_impl->leaving = true;
-    m_impl->closing = true;
+    m_impl->keepAliveDisabled = true;
+    m_impl->draining = true;
     asio::post(m_impl->acceptor.get_executor(),
                [this]
                {
                    asio::error_code ignored;
                    m_impl->acceptor.close(ignored);
                });
-    const auto until = Clock::now() + timeout;
+    const auto deadline = Clock::now() + timeout;
     while (counters().open > 0)
     {
-        if (Clock::now() > until)
+        if (Clock::now() > deadline)
             return false;
-        std::this_thread::sleep_for(sweepEvery);
+        std::this_thread::sleep_for(checkInterval);
     }
     return true;
 }
--- a/src/sailpath/adapters/http/LibraryExchange.hpp
+++ b/src/sailpath/adapters/http/LibraryExchange.hpp
@@ -5,7 +5,7 @@
 namespace sailpath::adapters::http::priv
 {
 ////////////////////////////////////////////////////////////
-/// \brief Opens the library's exchange over a stream of ours
+/// \brief Runs an exchange of the httplib client over a given stream
 ////////////////////////////////////////////////////////////
 class LibraryExchange : public httplib::ClientImpl
 {
@@ -20,7 +20,7 @@
     ////////////////////////////////////////////////////////////
     /// \brief Write a request and read its answer
     ///
-    /// \return Whether both went through; `error` says what did not
+    /// \return Whether the request was written and its answer read completely; otherwise `error` holds the cause
     ////////////////////////////////////////////////////////////
     [[nodiscard]] bool run(httplib::Stream& stream, httplib::Request& request, httplib::Response& response,
                            httplib::Error& error)
--- a/src/sailpath/adapters/http/RequestHead.cpp
+++ b/src/sailpath/adapters/http/RequestHead.cpp
@@ -113,9 +113,9 @@
     if (hosts > 1 || (hosts == 0 && !head.http10))
         return HeadError{400, "exactly one Host header is expected"};
     if (lengths + codings > 1)
-        return HeadError{400, "more than one Content-Length or Transfer-Encoding header"};
+        return HeadError{400, "more than one statement of the body's length"};
     if (codings == 1 && head.http10)
-        return HeadError{400, "chunked transfer coding is not allowed in HTTP/1.0"};
+        return HeadError{400, "chunked coding in HTTP/1.0"};
     if (codings == 1)
         head.framing = BodyFraming::Chunked;
     else if (lengths == 1 && head.contentLength > 0)
@@ -123,7 +123,7 @@
 
     const bool allowsBody = head.method != "GET" && head.method != "HEAD" && head.method != "OPTIONS";
     if (!allowsBody && head.framing != BodyFraming::None)
-        return HeadError{400, "a body is not allowed with this method"};
+        return HeadError{400, "a body does not belong to this method"};
     return std::nullopt;
 }
 
