--- a/include/sailpath/adapters/http/BackendClient.hpp
+++ b/include/sailpath/adapters/http/BackendClient.hpp
@@ -19,7 +19,7 @@
 using BodySink = std::function<bool(std::string_view)>;
 
 ////////////////////////////////////////////////////////////
-/// \brief Callback that reads a body piece by piece into a sink; returns false when the body could not be read completely
+/// \brief Callback that reads a body piece by piece into a sink; returns false when the body is incomplete
 ////////////////////////////////////////////////////////////
 using BodySource = std::function<bool(const BodySink&)>;
 
--- a/src/sailpath/adapters/calls/HttpCaller.cpp
+++ b/src/sailpath/adapters/calls/HttpCaller.cpp
@@ -16,8 +16,7 @@
 {
 constexpr std::uint32_t maxHeadBytes = 16U * 1024;
 constexpr std::uint64_t maxBodyBytes = std::uint64_t{64} << 20U;
-constexpr auto          maxTransferTime =
-    std::chrono::seconds{5}; // Added to the idle timeout: limits the time from the start of a call to its last byte
+constexpr auto          maxTransferTime = std::chrono::seconds{5}; // Longest call beyond the idle timeout
 
 } // namespace
 
--- a/src/sailpath/adapters/http/Connection.hpp
+++ b/src/sailpath/adapters/http/Connection.hpp
@@ -88,10 +88,8 @@
     std::string                    buffered;                     //!< Bytes read and not consumed yet
     std::atomic<Clock::time_point> since{Clock::now()};          //!< Start of the current state or request
     std::atomic<ConnectionState>   state{ConnectionState::Idle}; //!< Current state
-    std::atomic<bool>              bodyRead{
-        false}; //!< Whether the request body has been read completely, so that an end of stream means the caller disconnected
-    std::unique_ptr<Cancellation> cancellation{
-        std::make_unique<Cancellation>()}; //!< Cancellation of the request being served
+    std::atomic<bool>              bodyRead{false}; //!< Request body is read: end of stream means a disconnect
+    std::unique_ptr<Cancellation>  cancellation{std::make_unique<Cancellation>()}; //!< Cancels the current request
 };
 
 } // namespace sailpath::adapters::http::priv
--- a/src/sailpath/adapters/http/Ingress.cpp
+++ b/src/sailpath/adapters/http/Ingress.cpp
@@ -67,13 +67,12 @@
     void               checkConnections();
     void               checkConnection(Connection& connection, Clock::time_point now) const;
 
-    IngressSettings         settings; //!< Listening address and limits
-    RequestHandler&         handler;  //!< Serves the requests
-    asio::io_context        context;  //!< Event loop of the reactor; run by all threads
-    asio::ip::tcp::acceptor acceptor{
-        asio::make_strand(context)};                  //!< Listening socket; its strand runs handlers one at a time
-    std::uint16_t                     port{0};        //!< Port the acceptor listens on
-    asio::steady_timer                timer{context}; //!< Schedules the checks of connections
+    IngressSettings                   settings; //!< Listening address and limits
+    RequestHandler&                   handler;  //!< Serves the requests
+    asio::io_context                  context;  //!< Event loop of the reactor; run by all threads
+    asio::ip::tcp::acceptor           acceptor{asio::make_strand(context)}; //!< Accepts; handlers run one at a time
+    std::uint16_t                     port{0};                              //!< Port the acceptor listens on
+    asio::steady_timer                timer{context};                       //!< Schedules the checks of connections
     std::atomic<bool>                 keepAliveDisabled{false};   //!< Whether each answer closes its connection
     std::atomic<bool>                 draining{false};            //!< Whether idle connections are closed
     mutable std::mutex                mutex;                      //!< Guards the members below
