--- a/src/sailpath/entry/Attempt.cpp
+++ b/src/sailpath/entry/Attempt.cpp
@@ -142,7 +142,7 @@
     node::Outcome outcome = m_outcome;
     // If a truncated small answer has not been sent yet, the caller can still get an error, or the request a retry.
     const bool    complete = end == ExchangeEnd::Whole;
-    const bool    forwarded = m_caller.answer.begun() && (complete || !m_caller.answer.takeBack());
+    const bool    forwarded = m_caller.answer.begun() && (complete || !m_caller.answer.discardUnsent());
     outcome.bodyReplayable = !m_request.stream && !forwarded;
     switch (end)
     {
@@ -163,7 +163,7 @@
         break;
     case ExchangeEnd::NoAnswer:
     case ExchangeEnd::TimedOut:
-    case ExchangeEnd::Cut:
+    case ExchangeEnd::Truncated:
         outcome.result = AttemptResult::Unknown;
         break;
     }
