--- a/include/sailpath/balance/Balancer.hpp
+++ b/include/sailpath/balance/Balancer.hpp
@@ -198,9 +198,9 @@
     ////////////////////////////////////////////////////////////
     void receiveCrashNews(const deployment::CrashReport& news, core::Timestamp now);
 
-    [[nodiscard]] bool                  needsRequestIdentity() const; //!< Whether arrivals and outcomes need `identity`
-    [[nodiscard]] deployment::CrashReport takeCrashNews();              //!< For the other nodes, since the last call
-    [[nodiscard]] const CrashLedger&    crashes() const; //!< Record of requests during which servers crashed
+    [[nodiscard]] bool needsRequestIdentity() const;       //!< Whether arrivals and outcomes need `identity`
+    [[nodiscard]] deployment::CrashReport takeCrashNews(); //!< For the other nodes, since the last call
+    [[nodiscard]] const CrashLedger&      crashes() const; //!< Record of requests during which servers crashed
 
     [[nodiscard]] std::vector<deployment::Quarantine> takeNewQuarantines(); //!< New or widened since the last call
 
@@ -396,11 +396,11 @@
     std::vector<WarmUpChange>                                m_warmUpChanges;   //!< For `takeWarmUpChanges`
     std::vector<NoticeChange>                                m_noticeChanges;   //!< For `takeNoticeChanges`
     std::vector<LimitChange>                                 m_limitChanges;    //!< For `takeLimitChanges`
-    std::vector<deployment::LimitReport>                       m_limitNews; //!< For `takeLimitNews`, one per instance
+    std::vector<deployment::LimitReport>                     m_limitNews; //!< For `takeLimitNews`, one per instance
     std::vector<Step>                                        m_steps;     //!< For `takeSteps`
     CrashLedger                                              m_crashes;   //!< Requests during which servers crashed
     std::map<std::string, std::vector<LostRequest>> m_pendingChecks; //!< Lost requests awaiting a check, by instance
-    deployment::CrashReport                           m_crashNews;     //!< For `takeCrashNews`
+    deployment::CrashReport                         m_crashNews;     //!< For `takeCrashNews`
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/balance/CrashLedger.hpp
+++ b/include/sailpath/balance/CrashLedger.hpp
@@ -40,7 +40,7 @@
 {
 public:
     void recordEnd(const deployment::ServerCrash& end,
-                   core::Timestamp              now);                           //!< Record that a server ended under a request
+                   core::Timestamp                now);                           //!< Record that a server ended under a request
     void recordServed(const core::ContentHash& content);           //!< Clear a request that was answered below 500
     void recordContact(std::uint32_t server, core::Timestamp now); //!< Record that an instance sent any answer
 
--- a/include/sailpath/balance/WorkspaceQuotas.hpp
+++ b/include/sailpath/balance/WorkspaceQuotas.hpp
@@ -76,8 +76,8 @@
     ////////////////////////////////////////////////////////////
     bool recordSentElsewhere(const deployment::LimitReport& news, core::Timestamp now);
 
-    void               takeNews(std::vector<deployment::LimitReport>& to); //!< Append the reports due since the last call
-    [[nodiscard]] bool hasQuotas() const;                                //!< Some quota is in force
+    void takeNews(std::vector<deployment::LimitReport>& to);   //!< Append the reports due since the last call
+    [[nodiscard]] bool                      hasQuotas() const; //!< Some quota is in force
     [[nodiscard]] std::vector<QuotaState>   listStates(core::Timestamp now) const; //!< Of all quotas, by workspace name
     [[nodiscard]] std::optional<QuotaState> findState(std::string_view workspace,
                                                       core::Timestamp  now) const; //!< Null without a quota
@@ -107,7 +107,7 @@
     unsigned                                 m_nodes{1};       //!< Nodes that share the quotas
     std::optional<core::Timestamp>           m_fleetContactAt; //!< When reports of other nodes could last arrive
     std::unordered_map<std::uint32_t, Quota> m_quotas;         //!< By `shortHash` of the workspace's name
-    std::vector<deployment::LimitReport>       m_news;           //!< Reports not taken yet
+    std::vector<deployment::LimitReport>     m_news;           //!< Reports not taken yet
 };
 
 } // namespace sailpath::balance
--- a/include/sailpath/gateway/Gateway.hpp
+++ b/include/sailpath/gateway/Gateway.hpp
@@ -76,8 +76,8 @@
     /// \param newsHandler       Called on the loop's thread with the news for other nodes
     /// \param quarantineHandler Called on the loop's thread with each new, widened or withdrawn quarantine
     ////////////////////////////////////////////////////////////
-    void onServerCrashes(std::function<void(deployment::CrashReport)>  newsHandler,
-                         std::function<void(deployment::Quarantine)> quarantineHandler);
+    void onServerCrashes(std::function<void(deployment::CrashReport)> newsHandler,
+                         std::function<void(deployment::Quarantine)>  quarantineHandler);
 
     void receiveServerCrashes(const deployment::CrashReport& news); //!< Process crashes seen by other nodes
 
--- a/src/programs/Entry.cpp
+++ b/src/programs/Entry.cpp
@@ -147,7 +147,7 @@
     decisions.dataCentre = settings.text("data-centre");
     decisions.maxRequests = settings.whole("workers");
     decisions.seed = std::random_device{}();
-    entry::SharedDispatcher          door(decisions);
+    entry::SharedDispatcher        door(decisions);
     adapters::http::BackendClient  client(settings.milliseconds("connect-timeout-ms"), bodyIdle);
     metrics::TrafficMetrics        metrics;
     adapters::store::EtcdStore     store(settings.endpoint("platform"), storeTimeout);
@@ -160,9 +160,9 @@
     control::ControlThread control(controllerSettings(settings), peers, {store, watcher, vms, client, door, log});
 
     adapters::store::EtcdStore claimStore(settings.endpoint("platform"), storeTimeout);
-    entry::ClaimBatcher           claims(
-                  claimStore,
-                  [&control] { return control.aliveVms() * core::Duration{std::chrono::seconds{1}} / claimWritesPerSecond; });
+    entry::ClaimBatcher        claims(
+               claimStore,
+               [&control] { return control.aliveVms() * core::Duration{std::chrono::seconds{1}} / claimWritesPerSecond; });
     entry::Proxy            proxy(name, door, client, claims, metrics, log);
     adapters::http::Ingress ingress(ingressSettings(settings), proxy);
     std::atomic<bool>       leaving{false};
--- a/src/programs/GatewayProgram.cpp
+++ b/src/programs/GatewayProgram.cpp
@@ -293,7 +293,8 @@
         log);
     gateway.setConfirmedAtSource([&] { return fleet.provedAt(); });
     gateway.setFleetContactSource([&] { return fleet.heardAt(); });
-    gateway.onServerFailures([&](std::vector<std::uint32_t> servers) { fleet.reportServerFailures(std::move(servers)); });
+    gateway.onServerFailures([&](std::vector<std::uint32_t> servers)
+                             { fleet.reportServerFailures(std::move(servers)); });
     fleet.onFailures(
         [&](std::vector<deployment::ServerFailure> failures) {
             asio::post(context,
--- a/src/sailpath/control/ControlThread.cpp
+++ b/src/sailpath/control/ControlThread.cpp
@@ -344,7 +344,8 @@
         [&report](node::Dispatcher& dispatcher)
         {
             const auto at = steadyNow() - std::chrono::milliseconds{report.ageMs};
-            dispatcher.recordServerReport(report.workspace, report.service, report.server, report.load, report.draining, at);
+            dispatcher.recordServerReport(report.workspace, report.service, report.server, report.load, report.draining,
+                                          at);
         });
 }
 
--- a/src/sailpath/gateway/Gateway.cpp
+++ b/src/sailpath/gateway/Gateway.cpp
@@ -339,8 +339,8 @@
 }
 
 ////////////////////////////////////////////////////////////
-void Gateway::onServerCrashes(std::function<void(deployment::CrashReport)>  newsHandler,
-                              std::function<void(deployment::Quarantine)> quarantineHandler)
+void Gateway::onServerCrashes(std::function<void(deployment::CrashReport)> newsHandler,
+                              std::function<void(deployment::Quarantine)>  quarantineHandler)
 {
     m_impl->crashesHandler = std::move(newsHandler);
     m_impl->quarantineHandler = std::move(quarantineHandler);
--- a/src/sailpath/gateway/GatewayImpl.hpp
+++ b/src/sailpath/gateway/GatewayImpl.hpp
@@ -102,14 +102,14 @@
     metrics::StageTimes          stageTimes;
     priv::UnknownFieldDetector   unknownFieldDetector;
     std::function<std::string()> additionalMetrics;
-    std::function<std::optional<core::Timestamp>()>         confirmedAtSource;
-    std::function<std::optional<core::Timestamp>()>         fleetContactSource;
-    std::function<void(std::vector<std::uint32_t>)>         failuresHandler;
+    std::function<std::optional<core::Timestamp>()>           confirmedAtSource;
+    std::function<std::optional<core::Timestamp>()>           fleetContactSource;
+    std::function<void(std::vector<std::uint32_t>)>           failuresHandler;
     std::function<void(deployment::CrashReport)>              crashesHandler;
-    std::function<void(deployment::Quarantine)>             quarantineHandler;
+    std::function<void(deployment::Quarantine)>               quarantineHandler;
     std::function<void(std::vector<deployment::LimitReport>)> limitsHandler;
-    priv::StatusServer                                      readinessServer;
-    std::optional<priv::StatusServer>                       metricsServer;
+    priv::StatusServer                                        readinessServer;
+    std::optional<priv::StatusServer>                         metricsServer;
 };
 
 } // namespace sailpath::gateway
--- a/test/balance/Balancer.test.cpp
+++ b/test/balance/Balancer.test.cpp
@@ -157,8 +157,8 @@
         return steps();
     }
 
-    core::Timestamp      now{1h};
-    Balancer             balancer{settingsOf(), now};
+    core::Timestamp           now{1h};
+    Balancer                  balancer{settingsOf(), now};
     deployment::DeclaredState declared;
 };
 
@@ -880,7 +880,7 @@
 
 BOOST_AUTO_TEST_CASE(NoRequestIsDeniedBeforeAConfigurationIsKnown)
 {
-    Balancer             early(settingsOf(), now);
+    Balancer                  early(settingsOf(), now);
     deployment::DeclaredState known = declared;
     known.deployment = nullptr;
     std::vector<Step> taken;
--- a/test/balance/BalancerModel.test.cpp
+++ b/test/balance/BalancerModel.test.cpp
@@ -293,7 +293,7 @@
     core::Random                 m_random;
     core::Timestamp              m_start{1h};
     core::Timestamp              m_now{1h};
-    deployment::DeclaredState         m_declared;
+    deployment::DeclaredState    m_declared;
     std::array<Node, nodes>      m_nodes;
     std::set<std::string>        m_drained;
     std::vector<core::Timestamp> m_arrivals;
--- a/test/balance/Evacuation.test.cpp
+++ b/test/balance/Evacuation.test.cpp
@@ -148,10 +148,10 @@
     }
 
     deployment::DeclaredState declared;
-    core::Timestamp      now{1h};
-    Ticket               ticket{0};
-    std::vector<Step>    asked;
-    Balancer             balancer{settingsOf(), now};
+    core::Timestamp           now{1h};
+    Ticket                    ticket{0};
+    std::vector<Step>         asked;
+    Balancer                  balancer{settingsOf(), now};
 };
 
 } // namespace
--- a/test/balance/crashes/Innocent.test.cpp
+++ b/test/balance/crashes/Innocent.test.cpp
@@ -37,7 +37,7 @@
 {
     core::Timestamp endedAt;
     core::Timestamp arrivedAt;
-    ServerCrash       end;
+    ServerCrash     end;
 };
 
 ////////////////////////////////////////////////////////////
--- a/test/balance/crashes/Quarantined.test.cpp
+++ b/test/balance/crashes/Quarantined.test.cpp
@@ -124,7 +124,7 @@
 {
     balancer.configure(declared, now);
     now += 20s;
-    const auto                  culprit = requestOf("culprit");
+    const auto                    culprit = requestOf("culprit");
     const deployment::CrashReport news{{{5, 71, culprit, 80ms, 1ms}}, {}};
     balancer.receiveCrashNews(news, now);
     now += 1s;
--- a/test/balance/notices/Leaving.test.cpp
+++ b/test/balance/notices/Leaving.test.cpp
@@ -156,7 +156,7 @@
 BOOST_AUTO_TEST_CASE(NoticesOfRemovedServersAreBounded)
 {
     const deployment::Instance like = declared.instances[1];
-    deployment::DeclaredState       change;
+    deployment::DeclaredState  change;
     change.deployment = declared.deployment;
     change.whole = false;
     for (int i = 0; i < 2000; ++i)
--- a/test/platform/Platform.test.cpp
+++ b/test/platform/Platform.test.cpp
@@ -128,14 +128,14 @@
                            { return instance.id == id && !instance.draining; });
     }
 
-    StoreStandIn                      store;
-    platform::JsonTranslator          translator;
-    NullLog                           log;
-    std::mutex                        mutex;
+    StoreStandIn                           store;
+    platform::JsonTranslator               translator;
+    NullLog                                log;
+    std::mutex                             mutex;
     deployment::DeclaredState              last;
     std::vector<deployment::DeclaredState> published;
-    std::condition_variable           changed;
-    fleet::FleetThread                thread{
+    std::condition_variable                changed;
+    fleet::FleetThread                     thread{
         fleetSettings(),
         [this](asio::io_context& loop) {
             return std::make_unique<platform::KvSource>(loop, adapters::settings::Endpoint{"127.0.0.1", store.port()});
@@ -561,7 +561,7 @@
     const platform::JsonTranslator translator;
     NullLog                        log;
     std::mutex                     mutex;
-    deployment::DeclaredState           last;
+    deployment::DeclaredState      last;
     std::condition_variable        changed;
     fleet::FleetSettings           settings;
     settings.listen = {"127.0.0.1", 0};
--- a/test/support/GatewayFixture.hpp
+++ b/test/support/GatewayFixture.hpp
@@ -164,7 +164,7 @@
     unsigned                        slots{3}; //!< Requests that the server runs at once
     asio::io_context                context{1};
     std::optional<gateway::Gateway> gateway;
-    deployment::DeclaredState            declared;
+    deployment::DeclaredState       declared;
     std::thread                     thread;
 };
 
--- a/test/support/OneRouteFixture.hpp
+++ b/test/support/OneRouteFixture.hpp
@@ -64,8 +64,8 @@
         return found == steps.end() ? nullptr : &*found;
     }
 
-    core::Timestamp      now{std::chrono::hours{1}};
-    balance::Balancer    balancer{settingsOf(), now};
+    core::Timestamp           now{std::chrono::hours{1}};
+    balance::Balancer         balancer{settingsOf(), now};
     deployment::DeclaredState declared;
 };
 
--- a/test/support/QuotaFleet.hpp
+++ b/test/support/QuotaFleet.hpp
@@ -137,7 +137,7 @@
     {
         core::Timestamp at;
         unsigned        from;
-        LimitReport       report;
+        LimitReport     report;
     };
 
     void sendRequest()
--- a/test/support/ServiceModel.hpp
+++ b/test/support/ServiceModel.hpp
@@ -972,7 +972,7 @@
     std::vector<KindOfRequest>                     m_kinds;
     core::Random                                   m_random;
     core::Timestamp                                m_now{std::chrono::hours{1}};
-    deployment::DeclaredState                           m_declared;
+    deployment::DeclaredState                      m_declared;
     std::map<std::string, std::unique_ptr<Server>> m_servers;
     std::deque<Node>                               m_nodes;
     std::priority_queue<Event>                     m_events;
