--- a/include/sailpath/balance/ServerView.hpp
+++ b/include/sailpath/balance/ServerView.hpp
@@ -62,7 +62,7 @@
     /// \brief Pass to `SharedLimit::sentElsewhere` if a limit is known
     void sentElsewhere(double requests, double doublings, core::Timestamp now);
 
-    /// \brief Apply a notice of the instance; see `NoticeState::hear`
+    /// \brief Apply a notice of the instance; see `NoticeState::record`
     ServerNotice applyNotice(const ServerNotice& notice, double spread, core::Timestamp now);
 
     void recordAccepted(core::Timestamp sentAt); //!< The instance answered a request that was sent at that time
