--- a/test/fuzz/RequestReader.fuzz.cpp
+++ b/test/fuzz/RequestReader.fuzz.cpp
@@ -21,7 +21,7 @@
 public:
     void feed(std::string_view bytes)
     {
-        m_reader.received(bytes, core::Timestamp{});
+        m_reader.append(bytes, core::Timestamp{});
         while (!m_failed)
         {
             const http::ReadState state = m_reader.read(m_limits);
@@ -47,7 +47,7 @@
         for (const http::HeaderField& field : head.fields)
             line += field.name + "=" + field.value + ";";
         m_requests.push_back(line + m_reader.takeBody());
-        m_reader.next();
+        m_reader.finishRequest();
     }
 
     void fail()
--- a/test/platform/fuzz/Entries.fuzz.cpp
+++ b/test/platform/fuzz/Entries.fuzz.cpp
@@ -24,8 +24,8 @@
         std::abort();
     fleet::QuarantineKeeper keeper("node", 1);
     const std::string       key = "sailpath/quarantine/" + core::ContentHash{}.text();
-    (void)keeper.changed({key, text, 1, false}, {core::Timestamp{}, 0});
-    (void)keeper.changed({"sailpath/quarantine/" + text, text, 1, false}, {core::Timestamp{}, 0});
+    (void)keeper.applyEntry({key, text, 1, false}, {core::Timestamp{}, 0});
+    (void)keeper.applyEntry({"sailpath/quarantine/" + text, text, 1, false}, {core::Timestamp{}, 0});
     (void)adapters::links::decode(text);
     return 0;
 }
